--- a/packages/core/src/news/due_news.ts
+++ b/packages/core/src/news/due_news.ts
@@ -1,51 +1,61 @@
 import { NewsBudget } from "./news_budget.ts";
 
-/** A change by less than this part of the larger value can wait. */
-const CHANGE_SHARE = 0.2;
+/**
+ * Only a change by more than this share of the larger of the two values is sent
+ * at once.
+ */
+const SIGNIFICANT_CHANGE_SHARE = 0.2;
 
 type Options = {
-  /** What has not changed is told again so often. */
+  /** Interval at which unchanged values are sent again. */
   restMilliseconds: number;
   mostPerSecond: number;
 };
 
 type Item = { key: string; value: number };
 
-/** Chooses which of many values to tell now: changed ones, then the oldest. */
+/**
+ * Selects which of many values to send now, within a rate limit: new ones,
+ * significantly changed ones, and those not sent for `restMilliseconds`. Those
+ * sent longest ago come first.
+ */
 export class DueNews {
   #options: Options;
   #budget: NewsBudget;
-  #told = new Map<string, { value: number; at: number }>();
+  #lastSent = new Map<string, { value: number; at: number }>();
 
   constructor(options: Options) {
     this.#options = options;
     this.#budget = new NewsBudget(options.mostPerSecond);
   }
 
-  /** Those that are chosen count as told; what is left out is forgotten. */
+  /**
+   * Returns the items to send now, and records them as sent. Forgets values
+   * that are no longer among `items`.
+   */
   select<Kind extends Item>(items: Kind[], now: number): Kind[] {
-    const live = new Set(items.map(({ key }) => key));
-    for (const key of [...this.#told.keys()]) {
-      if (!live.has(key)) this.#told.delete(key);
+    const currentKeys = new Set(items.map(({ key }) => key));
+    for (const key of [...this.#lastSent.keys()]) {
+      if (!currentKeys.has(key)) this.#lastSent.delete(key);
     }
     const due = items.filter((item) => this.#isDue(item, now))
-      .sort((left, right) => this.#toldAt(left) - this.#toldAt(right));
+      .sort((left, right) => this.#lastSentAt(left) - this.#lastSentAt(right));
     const chosen = due.slice(0, this.#budget.take(due.length, now));
     for (const { key, value } of chosen) {
-      this.#told.set(key, { value, at: now });
+      this.#lastSent.set(key, { value, at: now });
     }
     return chosen;
   }
 
   #isDue({ key, value }: Item, now: number): boolean {
-    const told = this.#told.get(key);
-    if (told === undefined) return true;
-    if (now - told.at >= this.#options.restMilliseconds) return true;
-    const change = Math.abs(value - told.value);
-    return change > CHANGE_SHARE * Math.max(value, told.value);
+    const last = this.#lastSent.get(key);
+    if (last === undefined) return true;
+    if (now - last.at >= this.#options.restMilliseconds) return true;
+    const change = Math.abs(value - last.value);
+    return change > SIGNIFICANT_CHANGE_SHARE * Math.max(value, last.value);
   }
 
-  #toldAt({ key }: Item): number {
-    return this.#told.get(key)?.at ?? -Infinity;
+  #lastSentAt({ key }: Item): number {
+    return this.#lastSent.get(key)?.at ?? -Infinity;
   }
 }
--- a/packages/core/src/news/due_news_test.ts
+++ b/packages/core/src/news/due_news_test.ts
@@ -13,7 +13,7 @@
   return news.select(items, now).map(({ key }) => key);
 }
 
-test("changes are told at once, the rest now and then", () => {
+test("changed values are sent at once, unchanged ones at intervals", () => {
   const news = new DueNews({
     restMilliseconds: REST_MILLISECONDS,
     mostPerSecond: 100,
@@ -24,8 +24,8 @@
   assert.deepEqual(select(news, { a: 0, b: 2 }, 1_050), ["a"]);
 });
 
-// Guards against many values of which the same few are told again and again.
-test("beyond the budget those told longest ago go first", () => {
+// Guards against sending the same few of many values again and again.
+test("if the budget is exceeded, values sent longest ago come first", () => {
   const news = new DueNews({
     restMilliseconds: REST_MILLISECONDS,
     mostPerSecond: 2,
--- a/packages/core/src/news/news_budget.ts
+++ b/packages/core/src/news/news_budget.ts
@@ -1,23 +1,26 @@
 const WINDOW_MILLISECONDS = 1_000;
 
-/** Bounds how much news a host tells in a second, whatever happens around it. */
+/**
+ * Limits the updates that a host sends per second, in fixed windows, even when
+ * an incident causes many more.
+ */
 export class NewsBudget {
   #mostPerSecond: number;
-  #startedAt = -Infinity;
-  #told = 0;
+  #windowStartedAt = -Infinity;
+  #sentInWindow = 0;
 
   constructor(mostPerSecond: number) {
     this.#mostPerSecond = mostPerSecond;
   }
 
-  /** How many of so many may be told now; they count as told. */
+  /** Returns how many of `wanted` updates may be sent now, and counts them. */
   take(wanted: number, now: number): number {
-    if (now - this.#startedAt >= WINDOW_MILLISECONDS) {
-      this.#startedAt = now;
-      this.#told = 0;
+    if (now - this.#windowStartedAt >= WINDOW_MILLISECONDS) {
+      this.#windowStartedAt = now;
+      this.#sentInWindow = 0;
     }
-    const taken = Math.min(wanted, this.#mostPerSecond - this.#told);
-    this.#told += taken;
-    return taken;
+    const granted = Math.min(wanted, this.#mostPerSecond - this.#sentInWindow);
+    this.#sentInWindow += granted;
+    return granted;
   }
 }
--- a/packages/core/src/news/news_budget_test.ts
+++ b/packages/core/src/news/news_budget_test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { NewsBudget } from "./news_budget.ts";
 
-// Guards against a flood of reports that takes the bytes of everything else.
-test("no more is told in a second than the budget allows", () => {
+// Guards against a flood of reports that uses up the bandwidth of all else.
+test("no more updates per second are allowed than the budget", () => {
   const budget = new NewsBudget(10);
   assert.equal(budget.take(8, 0), 8);
   assert.equal(budget.take(8, 500), 2);
