--- a/packages/core/src/random/hash_text.ts
+++ b/packages/core/src/random/hash_text.ts
@@ -1,4 +1,7 @@
-/** FNV-1a, 32 bits: spreads short keys evenly, the same on every host. */
+/**
+ * 32-bit FNV-1a hash of the text's UTF-16 code units, with a final mixing step.
+ * Distributes short keys evenly, and gives the same result on every host.
+ */
 export function hashText(text: string): number {
   let value = 0x811c9dc5;
   for (let index = 0; index < text.length; index += 1) {
--- a/packages/core/src/random/seeded_random.ts
+++ b/packages/core/src/random/seeded_random.ts
@@ -1,9 +1,12 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-const VALUES = 2 ** 32;
+const UINT32_RANGE = 2 ** 32;
 
-/** Numbers in [0, 1), the same ones for the same seed. */
+/**
+ * Creates a generator of pseudorandom numbers in [0, 1), which gives the same
+ * sequence for the same seed.
+ */
 export function seededRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
-  return () => (generator.next() >>> 0) / VALUES;
+  return () => (generator.next() >>> 0) / UINT32_RANGE;
 }
