--- a/packages/core/src/gateway/routing_configuration_schema.ts
+++ b/packages/core/src/gateway/routing_configuration_schema.ts
@@ -18,7 +18,7 @@
   weightChunkBytes: count,
   /**
    * Duration of one decoding step: a fixed part, and the parts added by each
-   * running request and by each thousand tokens.
+   * running request and by each thousand tokens of context.
    */
   stepMilliseconds: milliseconds,
   stepPerRequestMilliseconds: milliseconds,
