--- a/packages/core/src/crashes/apply_blame.ts
+++ b/packages/core/src/crashes/apply_blame.ts
@@ -2,21 +2,25 @@
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 
-const MOST_KEPT = 256;
+const MAX_BLAMED_REQUESTS = 256;
 
-/** Keeps a blame over a loss of all power; the oldest makes room. */
+/**
+ * Stores a blame in the replicated tables, so that it survives a power loss on
+ * all hosts. Ignores a blame with no more crashes than the stored one. At
+ * capacity, the oldest blame is evicted.
+ */
 export function applyBlame(
   state: ControlState,
   command: CommandOf<"blame-request">,
 ): ChangeAnswer {
   const { kind: _kind, ...row } = command;
-  const standing = state.blamedRequests.get(row.fingerprint);
-  if (standing !== undefined && standing.crashes >= row.crashes) {
+  const existing = state.blamedRequests.get(row.fingerprint);
+  if (existing !== undefined && existing.crashes >= row.crashes) {
     return { accepted: true };
   }
   state.blamedRequests.delete(row.fingerprint);
   state.blamedRequests.set(row.fingerprint, row);
-  if (state.blamedRequests.size > MOST_KEPT) {
+  if (state.blamedRequests.size > MAX_BLAMED_REQUESTS) {
     state.blamedRequests.delete(state.blamedRequests.keys().next().value!);
   }
   return { accepted: true };
--- a/packages/core/src/crashes/apply_suspicion.ts
+++ b/packages/core/src/crashes/apply_suspicion.ts
@@ -2,9 +2,12 @@
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 
-const MOST_KEPT = 256;
+const MAX_SUSPECTED_REQUESTS = 256;
 
-/** Keeps the ends under a request that is not blamed yet; the oldest goes. */
+/**
+ * Stores in the replicated tables the crashes under a request that is not
+ * blamed yet. At capacity, the oldest entry is evicted.
+ */
 export function applySuspicion(
   state: ControlState,
   command: CommandOf<"suspect-request">,
@@ -13,7 +16,7 @@
   const { suspectedRequests } = state;
   suspectedRequests.delete(row.fingerprint);
   suspectedRequests.set(row.fingerprint, row);
-  if (suspectedRequests.size > MOST_KEPT) {
+  if (suspectedRequests.size > MAX_SUSPECTED_REQUESTS) {
     suspectedRequests.delete(suspectedRequests.keys().next().value!);
   }
   return { accepted: true };
--- a/packages/core/src/crashes/blame.ts
+++ b/packages/core/src/crashes/blame.ts
@@ -1,12 +1,18 @@
-/** A request that is not to be run for a time, as it ends what runs it. */
+/**
+ * A request in quarantine: it is refused for a term, because backend servers
+ * crashed while running it.
+ */
 export type Blame = {
   fingerprint: string;
-  /** Backend servers that ended under it, as far as is known. */
+  /** Backend server crashes attributed to the request that are known so far. */
   crashes: number;
-  /** The latest of them: they are not to be laid to any other request. */
+  /**
+   * Backend server starts that ended in the latest of these crashes. They are
+   * not evidence against any other request.
+   */
   incarnations: string[];
-  /** How long it is refused behind its latest crash. */
+  /** How long the request is refused after its latest crash. */
   termMilliseconds: number;
-  /** Monotonic milliseconds. */
+  /** When the refusal ends, monotonic milliseconds. */
   endsAt: number;
 };
--- a/packages/core/src/crashes/blame_of_row.ts
+++ b/packages/core/src/crashes/blame_of_row.ts
@@ -1,13 +1,15 @@
 import type { Blame } from "./blame.ts";
 import type { BlamedRequestRow } from "./blamed_request_row.ts";
 
-type Now = { timeOfDay: number; monotonic: number };
+type ClockReadings = { timeOfDay: number; monotonic: number };
 
 /**
- * What is left of a kept blame, in milliseconds of each clock. The time of day
- * may have been set since: no more than the whole term is left.
+ * Converts a stored blame, which has a wall-clock time, to one that ends on
+ * this process's monotonic clock. Both clock readings are in milliseconds. The
+ * wall clock may have been set back since the blame was stored, so the blame
+ * never ends later than one whole term from now.
  */
-export function blameOfRow(row: BlamedRequestRow, now: Now): Blame {
+export function blameOfRow(row: BlamedRequestRow, now: ClockReadings): Blame {
   const { at, ...blame } = row;
   const age = Math.max(0, now.timeOfDay - at);
   return { ...blame, endsAt: now.monotonic + row.termMilliseconds - age };
--- a/packages/core/src/crashes/blamed_request_row.ts
+++ b/packages/core/src/crashes/blamed_request_row.ts
@@ -1,9 +1,9 @@
-/** A request that is refused for a term, as the replicated tables keep it. */
+/** A request that is refused for a term, as stored in the replicated tables. */
 export type BlamedRequestRow = {
   fingerprint: string;
   crashes: number;
   incarnations: string[];
   termMilliseconds: number;
-  /** Leader's time of day when it was blamed, Unix milliseconds. */
+  /** The leader's wall-clock time of the blame, Unix milliseconds. */
   at: number;
 };
--- a/packages/core/src/crashes/crash_evidence.ts
+++ b/packages/core/src/crashes/crash_evidence.ts
@@ -1,53 +1,57 @@
 import type { CrashReport } from "./crash_report.ts";
 
 /**
- * What still waited there has hardly ended it; but an answer's beginning can
- * be lost with the connection, so that it counts for something.
+ * Weight of a crash before the request's answer started. A request that was
+ * still queued is unlikely to have caused the crash, but the start of its
+ * answer can be lost with the connection, so the crash still counts.
  */
-const UNBEGUN_WEIGHT = 0.5;
-/** A run that has not begun goes behind all that have, among suspects. */
-const UNBEGUN_MILLISECONDS = 60_000;
+const UNSTARTED_ANSWER_WEIGHT = 0.5;
+/**
+ * Stands in for `begunMilliseconds` where no answer had started, so that such
+ * suspects rank after those whose answers had started.
+ */
+const UNSTARTED_ANSWER_MILLISECONDS = 60_000;
 
-type Witnessed = { begunMilliseconds: number | undefined; at: number };
+type ObservedCrash = { begunMilliseconds: number | undefined; at: number };
 
-/** The ends of backend servers that one request was under way in. */
+/** The backend server crashes during which one request was in flight there. */
 export class CrashEvidence {
-  #ends = new Map<string, Witnessed>();
-  /** When the latest report came, monotonic milliseconds. */
-  reportedAt = -Infinity;
+  #crashes = new Map<string, ObservedCrash>();
+  /** When the latest new crash was reported, monotonic milliseconds. */
+  lastReportedAt = -Infinity;
 
-  /** Whether it is of an end that was not known for this request. */
+  /** Returns false if this crash was already recorded for the request. */
   add({ incarnation, begunMilliseconds }: CrashReport, now: number): boolean {
-    if (this.#ends.has(incarnation)) return false;
-    this.#ends.set(incarnation, { begunMilliseconds, at: now });
-    this.reportedAt = now;
+    if (this.#crashes.has(incarnation)) return false;
+    this.#crashes.set(incarnation, { begunMilliseconds, at: now });
+    this.lastReportedAt = now;
     return true;
   }
 
-  /** Another request is to blame for this end. */
-  drop(incarnation: string): void {
-    this.#ends.delete(incarnation);
+  /** Removes a crash that is attributed to another request. */
+  remove(incarnation: string): void {
+    this.#crashes.delete(incarnation);
   }
 
   get incarnations(): string[] {
-    return [...this.#ends.keys()];
+    return [...this.#crashes.keys()];
   }
 
   get weight(): number {
-    return [...this.#ends.values()].reduce(
+    return [...this.#crashes.values()].reduce(
       (sum, { begunMilliseconds }) =>
-        sum + (begunMilliseconds === undefined ? UNBEGUN_WEIGHT : 1),
+        sum + (begunMilliseconds === undefined ? UNSTARTED_ANSWER_WEIGHT : 1),
       0,
     );
   }
 
-  /** How soon the ends came behind the beginning of its answer, on average. */
-  get meanBegunMilliseconds(): number {
-    const sum = [...this.#ends.values()].reduce(
+  /** Mean time from the start of the request's answer to the crash. */
+  get meanMillisecondsFromAnswerStart(): number {
+    const sum = [...this.#crashes.values()].reduce(
       (total, { begunMilliseconds }) =>
-        total + (begunMilliseconds ?? UNBEGUN_MILLISECONDS),
+        total + (begunMilliseconds ?? UNSTARTED_ANSWER_MILLISECONDS),
       0,
     );
-    return sum / Math.max(1, this.#ends.size);
+    return sum / Math.max(1, this.#crashes.size);
   }
 }
--- a/packages/core/src/crashes/crash_ledger.ts
+++ b/packages/core/src/crashes/crash_ledger.ts
@@ -3,49 +3,64 @@
 import { CRASHES_TO_BLAME } from "./crashes_to_blame.ts";
 import type { CrashReport } from "./crash_report.ts";
 
-/** Time for whoever sends it to mend it, or what runs it. */
-const TERM_MILLISECONDS = 900_000;
-const LONGEST_TERM_MILLISECONDS = 86_400_000;
-/** Longer than any run: meanwhile no second one is tried. */
+/**
+ * Leaves time to fix the request at its sender, or the backend server that
+ * crashes on it.
+ */
+const INITIAL_TERM_MILLISECONDS = 900_000;
+const MAX_TERM_MILLISECONDS = 86_400_000;
+/**
+ * Longer than any run, so that no second trial run starts while one is in
+ * flight.
+ */
 const TRIAL_MILLISECONDS = 60_000;
-/** Ends longer ago say nothing of a request that has not been blamed. */
-const EVIDENCE_MILLISECONDS = 600_000;
-const MOST_SUSPECTS = 4_096;
-const MOST_BLAMED = 1_024;
-const MOST_EXPLAINED = 1_024;
-/** Of one blame, told to other hosts. */
-const MOST_TOLD = 8;
+/**
+ * How long after its latest crash a request that is not blamed stays suspected:
+ * older crashes say nothing about it.
+ */
+const EVIDENCE_RETENTION_MILLISECONDS = 600_000;
+const MAX_SUSPECTS = 4_096;
+const MAX_BLAMED_REQUESTS = 1_024;
+const MAX_ATTRIBUTED_CRASHES = 1_024;
+/** Crashes that a blame lists when it is sent to other hosts. */
+const MAX_INCARNATIONS_PER_BLAME = 8;
 
 type Options = {
-  /** Reports of one end come from several hosts within so long. */
+  /**
+   * Reports of one crash arrive from several hosts within this time. A suspect
+   * is blamed only once this long has passed since its latest new crash.
+   */
   settleMilliseconds: number;
 };
 
 /**
- * Finds the requests that end the backend servers which run them, and says
- * for how long they are not to be run.
+ * Identifies the requests that crash the backend servers running them, and
+ * decides how long these requests are refused.
  *
- * Pattern: one request among thousands ends whatever runs it, and comes again,
- * in series or many at once, at any host. Each end takes along all that ran
- * there, and these are sent on to the next backend server beside it: counted
- * by presence alone, they look as guilty as what they stood beside. An end
- * that is laid to one request therefore speaks against no other; of those that
- * were there at all of three ends, the one whose answers had just begun is
- * blamed; and who ran to a good end is not suspected any more.
+ * One request among thousands crashes every backend server that runs it, and
+ * is sent again, one attempt after the other or many at once, at any host.
+ * Each crash interrupts all other requests in flight on that backend server,
+ * and these are retried on the next one together with the harmful request. By
+ * presence at crashes alone, they look as guilty as the request at fault.
+ * Therefore:
+ * - a crash attributed to one request is not evidence against any other;
+ * - of the requests in flight at three crashes, the one whose answers had on
+ *   average started the shortest time before the crash is blamed first;
+ * - a request that completes successfully is no longer suspected.
  */
 export class CrashLedger {
   #options: Options;
-  /** By fingerprint, the latest suspect last. */
+  /** By fingerprint; the most recently reported suspect is last. */
   #suspects = new Map<string, CrashEvidence>();
   #blamed = new Map<string, Blame>();
-  /** Ends that were laid to a request, by whose they are. */
-  #explained = new Map<string, string>();
+  /** Fingerprint of the request that a crash is attributed to. */
+  #culpritByIncarnation = new Map<string, string>();
 
   constructor(options: Options) {
     this.#options = options;
   }
 
-  /** Whether any request is refused, or on trial behind that. */
+  /** Whether any request is refused, or on trial after its term. */
   get hasBlamed(): boolean {
     return this.#blamed.size > 0;
   }
@@ -54,56 +69,64 @@
     return this.#suspects.size;
   }
 
-  /** Takes a report in; whether it told something new. */
+  /** Records a report. Returns whether it added new evidence. */
   report(report: CrashReport, now: number): boolean {
     const { fingerprint, incarnation } = report;
     const blame = this.#blamed.get(fingerprint);
-    const culprit = this.#explained.get(incarnation);
+    const culprit = this.#culpritByIncarnation.get(incarnation);
     if (culprit !== undefined && culprit !== fingerprint) return false;
-    const evidence = this.#evidenceOf(fingerprint);
+    const evidence = this.#refreshEvidence(fingerprint);
     if (!evidence.add(report, now)) return false;
-    if (blame !== undefined) this.#blameAgain(blame, incarnation, now);
+    if (blame !== undefined) this.#extendBlame(blame, incarnation, now);
     return true;
   }
 
-  /** Blames who is to be blamed by what was reported until now. */
+  /** Blames the requests with sufficient evidence, and returns these blames. */
   decide(now: number): Blame[] {
-    const found: Blame[] = [];
+    const newBlames: Blame[] = [];
     for (const [fingerprint, evidence] of this.#settledSuspects(now)) {
-      // Ends that the one before is blamed for have been taken off.
+      // Blaming an earlier suspect took its crashes off the others' evidence.
       if (evidence.weight < CRASHES_TO_BLAME) continue;
       const { incarnations } = evidence;
       const blame = {
         fingerprint,
         crashes: incarnations.length,
-        incarnations: incarnations.slice(-MOST_TOLD),
-        termMilliseconds: TERM_MILLISECONDS,
-        endsAt: now + TERM_MILLISECONDS,
+        incarnations: incarnations.slice(-MAX_INCARNATIONS_PER_BLAME),
+        termMilliseconds: INITIAL_TERM_MILLISECONDS,
+        endsAt: now + INITIAL_TERM_MILLISECONDS,
       };
-      this.#blame(blame);
-      found.push(blame);
+      this.#recordBlame(blame);
+      newBlames.push(blame);
     }
-    return found;
+    return newBlames;
   }
 
-  /** Whether a report waits for others of the same end before it decides. */
+  /**
+   * Whether `decide` has to be called again: a request has sufficient evidence
+   * against it, but more reports of the same crash may still arrive.
+   */
   get isUndecided(): boolean {
     return [...this.#suspects].some(([fingerprint, { weight }]) =>
       weight >= CRASHES_TO_BLAME && !this.#blamed.has(fingerprint)
     );
   }
 
-  /** What another host knows; whether it was news. */
+  /**
+   * Takes over a blame known to another host or stored in the replicated
+   * tables. Returns whether it is new or counts more crashes than known here.
+   */
   learn(blame: Blame): boolean {
     const known = this.#blamed.get(blame.fingerprint);
     const isNews = known === undefined || known.crashes < blame.crashes;
-    if (isNews) this.#blame(blame);
+    if (isNews) this.#recordBlame(blame);
     return isNews;
   }
 
   /**
-   * Why a request is not to be run now; undefined where it may. Behind its
-   * term one run is let through, and others only once that has ended well.
+   * Returns the blame for which a request must be refused now; undefined if it
+   * may run. After the term, one run is admitted as a trial. Others are refused
+   * until that run succeeds and `clear` is called, or until the trial times
+   * out.
    */
   refusal(fingerprint: string, now: number): Blame | undefined {
     const blame = this.#blamed.get(fingerprint);
@@ -113,26 +136,33 @@
     return undefined;
   }
 
-  /** Whether it is refused now; asks for no trial. */
+  /** Whether the request is refused now. Doesn't start a trial. */
   isBlamed(fingerprint: string, now: number): boolean {
     const blame = this.#blamed.get(fingerprint);
     return blame !== undefined && now < blame.endsAt;
   }
 
   /**
-   * Whether a host may send it once more of its own accord. The last end that
-   * is needed to blame it is left to its client, who may not come again.
+   * Whether a host may retry the request on its own. The attempt that could
+   * cause the last crash needed for a blame is left to the client, which may
+   * never send the request again.
    */
   maySendAgain(fingerprint: string): boolean {
     return this.weightOf(fingerprint) < CRASHES_TO_BLAME - 1;
   }
 
-  /** How many ends speak against it, those of what waited by half. */
+  /**
+   * Number of crashes that are evidence against the request; those before its
+   * answer started count half.
+   */
   weightOf(fingerprint: string): number {
     return this.#suspects.get(fingerprint)?.weight ?? 0;
   }
 
-  /** It ran to a good end; whether it was suspected or blamed. */
+  /**
+   * Removes suspicion and blame, as after a successful run. Returns whether the
+   * request was suspected or blamed.
+   */
   clear(fingerprint: string): boolean {
     const wasSuspect = this.#suspects.delete(fingerprint);
     const wasBlamed = this.#blamed.delete(fingerprint);
@@ -147,10 +177,10 @@
     return this.#suspects.get(fingerprint)?.incarnations ?? [];
   }
 
-  /** Forgets what is too old to count; called now and then. */
+  /** Drops outdated suspects and blames; to be called periodically. */
   expire(now: number): void {
-    for (const [fingerprint, { reportedAt }] of [...this.#suspects]) {
-      const isOld = now - reportedAt > EVIDENCE_MILLISECONDS;
+    for (const [fingerprint, { lastReportedAt }] of [...this.#suspects]) {
+      const isOld = now - lastReportedAt > EVIDENCE_RETENTION_MILLISECONDS;
       if (isOld && !this.#blamed.has(fingerprint)) {
         this.#suspects.delete(fingerprint);
       }
@@ -162,64 +192,72 @@
 
   #settledSuspects(now: number): [string, CrashEvidence][] {
     return [...this.#suspects]
-      .filter(([fingerprint, { weight, reportedAt }]) =>
+      .filter(([fingerprint, { weight, lastReportedAt }]) =>
         weight >= CRASHES_TO_BLAME &&
-        now - reportedAt >= this.#options.settleMilliseconds &&
+        now - lastReportedAt >= this.#options.settleMilliseconds &&
         !this.#blamed.has(fingerprint)
       )
       .sort(([, left], [, right]) =>
-        left.meanBegunMilliseconds - right.meanBegunMilliseconds
+        left.meanMillisecondsFromAnswerStart -
+        right.meanMillisecondsFromAnswerStart
       );
   }
 
-  #blame(blame: Blame): void {
+  #recordBlame(blame: Blame): void {
     const { fingerprint, incarnations } = blame;
     this.#blamed.delete(fingerprint);
     this.#blamed.set(fingerprint, { ...blame });
-    dropOldest(this.#blamed, MOST_BLAMED);
+    dropOldest(this.#blamed, MAX_BLAMED_REQUESTS);
     const all = [...incarnations, ...this.incarnationsOf(fingerprint)];
     for (const incarnation of all) {
-      this.#explain(incarnation, fingerprint);
+      this.#attributeCrash(incarnation, fingerprint);
     }
   }
 
-  /** It was still under way, or on trial, somewhere. */
-  #blameAgain(blame: Blame, incarnation: string, now: number): void {
+  /**
+   * Counts another crash under a blamed request that was still in flight, or
+   * on trial, on some host. If no more than the time of a trial is left until
+   * `endsAt`, this counts as a failed trial and doubles the term.
+   */
+  #extendBlame(blame: Blame, incarnation: string, now: number): void {
     const wasOnTrial = blame.endsAt - now <= TRIAL_MILLISECONDS;
     blame.crashes += 1;
-    blame.incarnations = [...blame.incarnations, incarnation].slice(-MOST_TOLD);
+    blame.incarnations = [...blame.incarnations, incarnation].slice(
+      -MAX_INCARNATIONS_PER_BLAME,
+    );
     if (wasOnTrial) {
       blame.termMilliseconds = Math.min(
-        LONGEST_TERM_MILLISECONDS,
+        MAX_TERM_MILLISECONDS,
         blame.termMilliseconds * 2,
       );
     }
     blame.endsAt = now + blame.termMilliseconds;
-    this.#explain(incarnation, blame.fingerprint);
+    this.#attributeCrash(incarnation, blame.fingerprint);
   }
 
-  #explain(incarnation: string, culprit: string): void {
-    this.#explained.set(incarnation, culprit);
-    dropOldest(this.#explained, MOST_EXPLAINED);
+  /** Attributes a crash to one request: it no longer counts against others. */
+  #attributeCrash(incarnation: string, culprit: string): void {
+    this.#culpritByIncarnation.set(incarnation, culprit);
+    dropOldest(this.#culpritByIncarnation, MAX_ATTRIBUTED_CRASHES);
     for (const [fingerprint, evidence] of [...this.#suspects]) {
       if (fingerprint === culprit) continue;
-      evidence.drop(incarnation);
+      evidence.remove(incarnation);
       if (evidence.weight === 0) this.#suspects.delete(fingerprint);
     }
   }
 
-  #evidenceOf(fingerprint: string): CrashEvidence {
+  #refreshEvidence(fingerprint: string): CrashEvidence {
     const known = this.#suspects.get(fingerprint);
     const evidence = known ?? new CrashEvidence();
-    // Set anew, it is the latest, and the last to make room for others.
+    // Reinserted as the latest, the suspect is the last to be evicted.
     this.#suspects.delete(fingerprint);
     this.#suspects.set(fingerprint, evidence);
-    dropOldest(this.#suspects, MOST_SUSPECTS);
+    dropOldest(this.#suspects, MAX_SUSPECTS);
     return evidence;
   }
 }
 
-function dropOldest(entries: Map<string, unknown>, most: number): void {
-  if (entries.size <= most) return;
+function dropOldest(entries: Map<string, unknown>, maxSize: number): void {
+  if (entries.size <= maxSize) return;
   entries.delete(entries.keys().next().value!);
 }
--- a/packages/core/src/crashes/crash_ledger_test.ts
+++ b/packages/core/src/crashes/crash_ledger_test.ts
@@ -5,20 +5,26 @@
 import type { CrashReport } from "./crash_report.ts";
 
 const SETTLE_MILLISECONDS = 150;
-const MINUTE = 60_000;
-const LONG_AFTER = 20 * MINUTE;
+const MINUTE_MILLISECONDS = 60_000;
+const LONG_AFTER_MILLISECONDS = 20 * MINUTE_MILLISECONDS;
 const RUNS = 300;
 
-function ledger(): CrashLedger {
+function createLedger(): CrashLedger {
   return new CrashLedger({ settleMilliseconds: SETTLE_MILLISECONDS });
 }
 
-/** The one that ends what runs it: its answer has just begun. */
-function culprit(incarnation: string, fingerprint = "culprit"): CrashReport {
+/** A report of the request at fault: its answer has just started. */
+function culpritReport(
+  incarnation: string,
+  fingerprint = "culprit",
+): CrashReport {
   return { fingerprint, incarnation, begunMilliseconds: 40 };
 }
 
-function bystander(incarnation: string, fingerprint = "beside"): CrashReport {
+function bystanderReport(
+  incarnation: string,
+  fingerprint = "beside",
+): CrashReport {
   return { fingerprint, incarnation, begunMilliseconds: 900 };
 }
 
@@ -26,140 +32,151 @@
   for (const report of reports) to.report(report, now);
 }
 
-function blamedBy(from: CrashLedger, now = SETTLE_MILLISECONDS): string[] {
+function decideFingerprints(
+  from: CrashLedger,
+  now = SETTLE_MILLISECONDS,
+): string[] {
   return from.decide(now).map(({ fingerprint }) => fingerprint);
 }
 
-// Guards against a request that ends one backend server after the other.
-test("under which three backend servers ended is refused for its term", () => {
-  const one = ledger();
-  reportAll(one, ["a", "b"].map((name) => culprit(name)));
-  assert.deepEqual(blamedBy(one), []);
-  reportAll(one, [culprit("b"), culprit("c")], 500);
-  assert.deepEqual(blamedBy(one, 1_000), ["culprit"]);
-  assert.equal(one.refusal("culprit", 2_000)?.crashes, 3);
-  assert.equal(one.refusal("other", 2_000), undefined);
+// Guards against a request that crashes one backend server after the other.
+test("a request is refused for its term after three backend servers crashed", () => {
+  const ledger = createLedger();
+  reportAll(ledger, ["a", "b"].map((name) => culpritReport(name)));
+  assert.deepEqual(decideFingerprints(ledger), []);
+  reportAll(ledger, [culpritReport("b"), culpritReport("c")], 500);
+  assert.deepEqual(decideFingerprints(ledger, 1_000), ["culprit"]);
+  assert.equal(ledger.refusal("culprit", 2_000)?.crashes, 3);
+  assert.equal(ledger.refusal("other", 2_000), undefined);
 });
 
-// Guards against refusing what merely ran beside the request at fault.
-test("who stood beside it at all three ends is not blamed", () => {
+// Guards against refusing requests that only ran beside the one at fault.
+test("a request in flight at all three crashes of another is not blamed", () => {
   const names = ["a", "b", "c"];
   const reports = [
-    ...names.map((name) => bystander(name)),
-    ...names.map((name) => culprit(name)),
+    ...names.map((name) => bystanderReport(name)),
+    ...names.map((name) => culpritReport(name)),
   ];
-  const one = ledger();
-  reportAll(one, reports);
-  assert.deepEqual(blamedBy(one), ["culprit"]);
-  // Copies of it under way go on ending what they run on.
-  reportAll(one, ["d", "e", "f"].map((name) => culprit(name)), 300);
-  reportAll(one, ["d", "e", "f"].map((name) => bystander(name)), 300);
-  assert.deepEqual(blamedBy(one, 600), []);
+  const ledger = createLedger();
+  reportAll(ledger, reports);
+  assert.deepEqual(decideFingerprints(ledger), ["culprit"]);
+  // Copies of the culprit that are still in flight cause further crashes.
+  reportAll(ledger, ["d", "e", "f"].map((name) => culpritReport(name)), 300);
+  reportAll(ledger, ["d", "e", "f"].map((name) => bystanderReport(name)), 300);
+  assert.deepEqual(decideFingerprints(ledger, 600), []);
 });
 
-test("what only waited there counts by half", () => {
-  const one = ledger();
+test("a crash before the request's answer started counts half", () => {
+  const ledger = createLedger();
   const waiting = (incarnation: string) => ({
-    ...bystander(incarnation),
+    ...bystanderReport(incarnation),
     begunMilliseconds: undefined,
   });
-  reportAll(one, ["a", "b", "c", "d", "e"].map(waiting));
-  assert.deepEqual(blamedBy(one), []);
-  reportAll(one, [waiting("f")]);
-  assert.deepEqual(blamedBy(one), ["beside"]);
+  reportAll(ledger, ["a", "b", "c", "d", "e"].map(waiting));
+  assert.deepEqual(decideFingerprints(ledger), []);
+  reportAll(ledger, [waiting("f")]);
+  assert.deepEqual(decideFingerprints(ledger), ["beside"]);
 });
 
-test("a good end takes suspicion and blame away", () => {
-  const one = ledger();
-  reportAll(one, ["a", "b"].map((name) => bystander(name)));
-  assert.equal(one.clear("beside"), true);
-  reportAll(one, ["c", "d"].map((name) => bystander(name)));
-  assert.deepEqual(blamedBy(one), []);
-  assert.equal(one.clear("stranger"), false);
+test("a successful run removes suspicion and blame", () => {
+  const ledger = createLedger();
+  reportAll(ledger, ["a", "b"].map((name) => bystanderReport(name)));
+  assert.equal(ledger.clear("beside"), true);
+  reportAll(ledger, ["c", "d"].map((name) => bystanderReport(name)));
+  assert.deepEqual(decideFingerprints(ledger), []);
+  assert.equal(ledger.clear("stranger"), false);
 });
 
-test("behind its term one run is tried, and another end costs more", () => {
-  const one = ledger();
-  reportAll(one, ["a", "b", "c"].map((name) => culprit(name)));
-  const [blame] = one.decide(SETTLE_MILLISECONDS);
-  const over = blame!.endsAt + 1;
-  assert.equal(one.refusal("culprit", over), undefined, "the trial");
-  assert.ok(one.refusal("culprit", over + 1), "no second one beside it");
-  one.report(culprit("d"), over + 100);
-  const again = one.refusal("culprit", over + LONG_AFTER);
+test("one trial run follows the term, and a crash in it doubles the term", () => {
+  const ledger = createLedger();
+  reportAll(ledger, ["a", "b", "c"].map((name) => culpritReport(name)));
+  const [blame] = ledger.decide(SETTLE_MILLISECONDS);
+  const trialAt = blame!.endsAt + 1;
+  assert.equal(ledger.refusal("culprit", trialAt), undefined, "the trial");
+  assert.ok(
+    ledger.refusal("culprit", trialAt + 1),
+    "no second one beside it",
+  );
+  ledger.report(culpritReport("d"), trialAt + 100);
+  const again = ledger.refusal("culprit", trialAt + LONG_AFTER_MILLISECONDS);
   assert.equal(again?.termMilliseconds, 2 * blame!.termMilliseconds);
 });
 
 test("two such requests at once are both found", () => {
-  const one = ledger();
+  const ledger = createLedger();
   const both = ["a", "b", "c", "d", "e", "f"].flatMap((name, index) => [
-    culprit(name, index % 2 === 0 ? "first" : "second"),
-    bystander(name),
+    culpritReport(name, index % 2 === 0 ? "first" : "second"),
+    bystanderReport(name),
   ]);
-  reportAll(one, both);
-  assert.deepEqual(blamedBy(one).sort(), ["first", "second"]);
-  assert.equal(one.isBlamed("beside", MINUTE), false);
+  reportAll(ledger, both);
+  assert.deepEqual(decideFingerprints(ledger).sort(), ["first", "second"]);
+  assert.equal(ledger.isBlamed("beside", MINUTE_MILLISECONDS), false);
 });
 
-// Guards against a flood of reports that fills the memory of a host.
-test("a flood of reports is held in bounds, and the culprit found in it", () => {
-  const one = ledger();
+// Guards against a flood of reports that exhausts a host's memory.
+test("a flood of reports stays within bounds, and the culprit is found", () => {
+  const ledger = createLedger();
   for (let index = 0; index < 100_000; index += 1) {
-    one.report(bystander(`server-${index}`, `request-${index}`), 0);
-    if (index % 30_000 === 0) one.report(culprit(`end-${index}`), 0);
+    ledger.report(bystanderReport(`server-${index}`, `request-${index}`), 0);
+    if (index % 30_000 === 0) ledger.report(culpritReport(`end-${index}`), 0);
     if (index % 1_000 === 0 && index > 0) {
-      one.report(culprit(`end-${Math.floor(index / 30_000) * 30_000}`), 0);
+      ledger.report(
+        culpritReport(`end-${Math.floor(index / 30_000) * 30_000}`),
+        0,
+      );
     }
   }
-  assert.ok(one.suspectCount <= 4_096);
-  assert.deepEqual(blamedBy(one), ["culprit"]);
+  assert.ok(ledger.suspectCount <= 4_096);
+  assert.deepEqual(decideFingerprints(ledger), ["culprit"]);
 });
 
-// Guards against hosts that judge differently by the order of what they hear.
-test("whatever the order, copies and losses, the culprit alone is blamed", () => {
-  const world = fc.record({
+// Guards against hosts that blame differently because reports arrive in
+// another order.
+test("reordered, copied or lost reports: only the culprit is blamed", () => {
+  const scenario = fc.record({
     ends: fc.integer({ min: 4, max: 12 }),
     beside: fc.array(fc.nat({ max: 2 ** 20 }), { maxLength: 12 }),
     lost: fc.infiniteStream(fc.nat({ max: 9 })),
     order: fc.infiniteStream(fc.nat({ max: 2 ** 20 })),
   });
   fc.assert(
-    fc.property(world, ({ ends, beside, lost, order }) => {
+    fc.property(scenario, ({ ends, beside, lost, order }) => {
       const names = Array.from({ length: ends }, (_, index) => `end-${index}`);
       const reports = names.flatMap((name, index) => [
-        culprit(name),
-        // Where it was is the bits of its number.
+        culpritReport(name),
+        // Bit `index` of a bystander's number: in flight at that crash.
         ...beside
-          .map((where, who) => ({ where, who }))
-          .filter(({ where }) => (where >> index) & 1)
-          .map(({ who }) => bystander(name, `beside-${who}`)),
+          .map((presence, number) => ({ presence, number }))
+          .filter(({ presence }) => (presence >> index) & 1)
+          .map(({ number }) => bystanderReport(name, `beside-${number}`)),
       ]);
-      const heard = reports.filter((report) =>
+      const received = reports.filter((report) =>
         report.fingerprint === "culprit" || lost.next().value !== 0
       );
-      const copies = [...heard, ...heard]
+      const copies = [...received, ...received]
         .map((report) => ({ report, at: order.next().value }))
         .sort((left, right) => left.at - right.at)
         .map(({ report }) => report);
-      const one = ledger();
-      reportAll(one, copies);
-      assert.deepEqual(blamedBy(one), ["culprit"]);
+      const ledger = createLedger();
+      reportAll(ledger, copies);
+      assert.deepEqual(decideFingerprints(ledger), ["culprit"]);
     }),
     { numRuns: RUNS },
   );
 });
 
-// Guards against a gateway that blames who stood beside a request elsewhere.
-test("what another host blames explains the ends that were seen here", () => {
-  const here = ledger();
-  const there = ledger();
+// Guards against a gateway that blames a bystander of a request that another
+// host has already blamed.
+test("crashes that another host attributes to a request blame no other", () => {
+  const here = createLedger();
+  const there = createLedger();
   const names = ["a", "b", "c"];
-  reportAll(here, names.map((name) => bystander(name)));
-  reportAll(there, names.map((name) => culprit(name)));
+  reportAll(here, names.map((name) => bystanderReport(name)));
+  reportAll(there, names.map((name) => culpritReport(name)));
   for (const blame of there.decide(SETTLE_MILLISECONDS)) {
     assert.equal(here.learn(blame), true);
     assert.equal(here.learn(blame), false);
   }
-  assert.deepEqual(blamedBy(here), []);
-  assert.ok(here.refusal("culprit", MINUTE));
+  assert.deepEqual(decideFingerprints(here), []);
+  assert.ok(here.refusal("culprit", MINUTE_MILLISECONDS));
 });
--- a/packages/core/src/crashes/crash_report.ts
+++ b/packages/core/src/crashes/crash_report.ts
@@ -1,9 +1,15 @@
-/** A request that was under way on a backend server when that one ended. */
+/** A request that was in flight on a backend server when the server crashed. */
 export type CrashReport = {
-  /** The same for all attempts of one request: its path, caller and body. */
+  /**
+   * Hash of the request's path, caller and body: the same for all attempts of
+   * one request.
+   */
   fingerprint: string;
-  /** One start of one backend server. */
+  /** Identifies one start of one backend server. */
   incarnation: string;
-  /** From the beginning of its answer to the end; undefined without one. */
+  /**
+   * Time from the start of the request's answer to the crash; undefined if no
+   * answer had started.
+   */
   begunMilliseconds: number | undefined;
 };
--- a/packages/core/src/crashes/crashes_to_blame.ts
+++ b/packages/core/src/crashes/crashes_to_blame.ts
@@ -1,2 +1,2 @@
-/** So many backend servers have to end under one request. */
+/** Weight of backend server crashes at which a request is blamed. */
 export const CRASHES_TO_BLAME = 3;
--- a/packages/core/src/crashes/suspected_request_row.ts
+++ b/packages/core/src/crashes/suspected_request_row.ts
@@ -1,7 +1,10 @@
-/** A request under which two backend servers have ended, not blamed yet. */
+/**
+ * A request under which two backend servers have crashed and that is not blamed
+ * yet, as stored in the replicated tables.
+ */
 export type SuspectedRequestRow = {
   fingerprint: string;
   incarnations: string[];
-  /** Leader's time of day when it was noted, Unix milliseconds. */
+  /** The leader's wall-clock time of the entry, Unix milliseconds. */
   at: number;
 };
