--- a/packages/core/src/named_limits/limit_division.ts
+++ b/packages/core/src/named_limits/limit_division.ts
@@ -1,30 +1,34 @@
 import type { NamedLimit } from "./named_limit.ts";
 
-/** A host that wanted something so long ago gives its part back. */
-const SILENT_MILLISECONDS = 2_500;
-/** Long behind the end of any need that nobody speaks of. */
-const FORGET_MILLISECONDS = 60_000;
-const MOST_LIMITS = 1_024;
-const MOST_HOSTS = 1_024;
+/** A host that reported no demand for this long loses its part. */
+const DEMAND_TIMEOUT_MILLISECONDS = 2_500;
+/**
+ * How long a limit that no host mentions is kept: far longer than any backend
+ * server needs to be limited.
+ */
+const TTL_MILLISECONDS = 60_000;
+const MAX_LIMITS = 1_024;
+const MAX_HOSTS_PER_LIMIT = 1_024;
 
-type Wanted = { perSecond: number; at: number };
-type Entry = {
+type Demand = { perSecond: number; at: number };
+type LimitEntry = {
   limit: NamedLimit;
-  wanted: Map<string, Wanted>;
+  demands: Map<string, Demand>;
   heardAt: number;
 };
 
 /**
- * Divides what backend servers in need take over the hosts that send to them,
- * in proportion to what each wants to send there.
+ * Divides the request rates that backend servers announce as their limits
+ * among the hosts that send to them, in proportion to each host's demand.
  *
- * Pattern: a backend server in need is soon the emptiest of all, so that every
- * host wants to send there. Each keeps to its part without a word to the
- * others; parts of one request a second among many hosts are fractions, which
- * whoever has no traffic must not hold.
+ * A backend server that announces a limit is soon the least loaded one, so
+ * every host wants to send requests to it. Each host keeps to its part of the
+ * limit without coordinating with the other hosts. With a limit of one request
+ * a second and many hosts, the parts are fractions of a request, so a host
+ * without traffic must not hold one.
  */
 export class LimitDivision {
-  #entries = new Map<string, Entry>();
+  #entries = new Map<string, LimitEntry>();
 
   get isEmpty(): boolean {
     return this.#entries.size === 0;
@@ -34,7 +38,7 @@
   name(limit: NamedLimit, now: number): boolean {
     const known = this.#entries.get(limit.incarnation);
     if (known !== undefined && known.limit.saidAt >= limit.saidAt) return false;
-    const entry = known ?? this.#open(limit, now);
+    const entry = known ?? this.#createEntry(limit, now);
     const isNews = entry.limit.perSecond !== limit.perSecond ||
       known === undefined;
     entry.limit = limit;
@@ -42,69 +46,73 @@
     return isNews;
   }
 
-  /** What a host wants to send to a backend server that named its limit. */
+  /** Records a host's demand for a backend server that announced a limit. */
   want(
     incarnation: string,
-    wanted: { host: string; perSecond: number },
+    demand: { host: string; perSecond: number },
     now: number,
   ): void {
     const entry = this.#entries.get(incarnation);
     if (entry === undefined) return;
-    const { host, perSecond } = wanted;
-    entry.wanted.delete(host);
-    entry.wanted.set(host, { perSecond, at: now });
-    if (entry.wanted.size > MOST_HOSTS) {
-      entry.wanted.delete(entry.wanted.keys().next().value!);
+    const { host, perSecond } = demand;
+    entry.demands.delete(host);
+    entry.demands.set(host, { perSecond, at: now });
+    if (entry.demands.size > MAX_HOSTS_PER_LIMIT) {
+      entry.demands.delete(entry.demands.keys().next().value!);
     }
   }
 
-  /** A host's part of each limit, from 0 to 1. */
+  /** The host's part of each limit, from 0 to 1; 0 without recent demand. */
   partsOf(host: string, now: number): { limit: NamedLimit; part: number }[] {
-    return [...this.#entries.values()].map(({ limit, wanted }) => {
-      const live = [...wanted.entries()].filter(([, { at }]) =>
-        now - at <= SILENT_MILLISECONDS
+    return [...this.#entries.values()].map(({ limit, demands }) => {
+      const live = [...demands.entries()].filter(([, { at }]) =>
+        now - at <= DEMAND_TIMEOUT_MILLISECONDS
       );
       const own = live.find(([name]) => name === host)?.[1];
       const part = own === undefined
         ? 0
-        : partOf(own, live.map(([, each]) => each), limit);
+        : computePart(own, live.map(([, each]) => each), limit);
       return { limit, part };
     });
   }
 
-  /** All that hosts want, for another that divides as well. */
+  /** Recent demand of all hosts, for another control host that also divides. */
   all(now: number): { limit: NamedLimit; host: string; perSecond: number }[] {
-    return [...this.#entries.values()].flatMap(({ limit, wanted }) =>
-      [...wanted]
-        .filter(([, { at }]) => now - at <= SILENT_MILLISECONDS)
+    return [...this.#entries.values()].flatMap(({ limit, demands }) =>
+      [...demands]
+        .filter(([, { at }]) => now - at <= DEMAND_TIMEOUT_MILLISECONDS)
         .map(([host, { perSecond }]) => ({ limit, host, perSecond }))
     );
   }
 
+  /** Drops limits that no host has mentioned lately; called periodically. */
   expire(now: number): void {
-    for (const [incarnation, { heardAt, wanted }] of [...this.#entries]) {
-      const latest = [...wanted.values()].reduce(
+    for (const [incarnation, { heardAt, demands }] of [...this.#entries]) {
+      const latest = [...demands.values()].reduce(
         (most, { at }) => Math.max(most, at),
         heardAt,
       );
-      if (now - latest > FORGET_MILLISECONDS) this.#entries.delete(incarnation);
+      if (now - latest > TTL_MILLISECONDS) this.#entries.delete(incarnation);
     }
   }
 
-  #open(limit: NamedLimit, now: number): Entry {
-    const entry = { limit, wanted: new Map<string, Wanted>(), heardAt: now };
+  #createEntry(limit: NamedLimit, now: number): LimitEntry {
+    const entry = { limit, demands: new Map<string, Demand>(), heardAt: now };
     this.#entries.set(limit.incarnation, entry);
-    if (this.#entries.size > MOST_LIMITS) {
+    if (this.#entries.size > MAX_LIMITS) {
       this.#entries.delete(this.#entries.keys().next().value!);
     }
     return entry;
   }
 }
 
-/** In proportion to what is wanted; all share what nobody wants alike. */
-function partOf(own: Wanted, all: Wanted[], limit: NamedLimit): number {
+/**
+ * Divides the limit in proportion to demand. What the demand leaves of it is
+ * shared equally by all hosts with demand.
+ */
+function computePart(own: Demand, all: Demand[], limit: NamedLimit): number {
   const sum = all.reduce((total, { perSecond }) => total + perSecond, 0);
-  const most = Math.max(sum, limit.perSecond ?? 0);
-  if (most === 0) return 1 / all.length;
-  return own.perSecond / most + (1 - sum / most) / all.length;
+  const divided = Math.max(sum, limit.perSecond ?? 0);
+  if (divided === 0) return 1 / all.length;
+  return own.perSecond / divided + (1 - sum / divided) / all.length;
 }
--- a/packages/core/src/named_limits/limit_part.ts
+++ b/packages/core/src/named_limits/limit_part.ts
@@ -1,60 +1,81 @@
-/** Longer than news of a change take to reach every host. */
-const SETTLE_MILLISECONDS = 1_000;
-/** Without news for so long a host is taken to be cut off by all others. */
-const STALE_MILLISECONDS = 2_000;
-/** What a host that is cut off goes on with, of what it had. */
-const STALE_SHARE = 0.5;
-/** Until a host is told its part: with eight hosts they keep to the limit. */
-const UNTOLD_PART = 0.125;
-/** Nobody would learn that a limit of naught has ended. */
-const LEAST_PER_SECOND = 0.1;
-/** Saved up by all hosts together: a number, and a time at the limit. */
-const SAVED_REQUESTS = 3;
-const SAVED_SECONDS = 1;
-/** Of a host's own rate, as arrivals come unevenly. */
-const BURST_SECONDS = 0.5;
-/** So long a request that was kept off is taken to be followed by others. */
-const KEPT_OFF_MILLISECONDS = 6_000;
-/** Wants so long ago count a third of one of now. */
-const WANT_MILLISECONDS = 6_000;
-
-/** With so many missing behind the last one, less is wanted than before. */
-const PAUSE_WANTS = 2;
-
-type Told = { part: number; at: number };
+/**
+ * How long a larger part waits before it applies: longer than a changed part
+ * takes to reach every host.
+ */
+const GROWTH_DELAY_MILLISECONDS = 1_000;
+/** A host told no part for this long is assumed cut off from all others. */
+const ASSIGNMENT_TIMEOUT_MILLISECONDS = 2_000;
+/** Fraction of its part that a host goes on using while it is cut off. */
+const DISCONNECTED_FACTOR = 0.5;
+/**
+ * Used until the host is told its part: eight such hosts together keep to the
+ * limit.
+ */
+const DEFAULT_PART = 0.125;
+/**
+ * Lowest limit. With a limit of 0, no request would be sent, and no host would
+ * learn that the limit has ended.
+ */
+const MIN_REQUESTS_PER_SECOND = 0.1;
+/**
+ * All hosts together may save up this number of requests, and what the limit
+ * allows in this time.
+ */
+const SHARED_BURST_REQUESTS = 3;
+const SHARED_BURST_SECONDS = 1;
+/** Each host may save this much of its own rate, as arrivals are uneven. */
+const HOST_BURST_SECONDS = 0.5;
+/** After a rejected request, more of them are expected for this long. */
+const REJECTION_TTL_MILLISECONDS = 6_000;
+/**
+ * Time constant of the exponential decay of demand: a request this long ago
+ * counts about a third of a current one.
+ */
+const DEMAND_DECAY_MILLISECONDS = 6_000;
+/**
+ * The estimate of the demand falls once this many requests are overdue after
+ * the last one.
+ */
+const OVERDUE_REQUESTS = 2;
+
+type Assignment = { part: number; at: number };
 
 /**
- * One host's part of what a backend server in need takes.
+ * Token bucket for one host's part of the request rate that a backend server
+ * announced as its limit.
  *
- * Pattern: parts follow the traffic, and each host hears of a change a moment
- * apart. A part that shrinks does so at once; one that grows waits until all
- * others have shrunk, so that together they hold the limit meanwhile too. Of
- * many hosts each has a fraction of a request a second: were each to save up a
- * whole one, as many as there are hosts would be sent once traffic comes to
- * all. A host sends at a threshold drawn anew for each request, with a debt of
- * what is missing; and while nothing is kept off, it saves a fraction only.
+ * Parts follow the traffic, and hosts learn of a change at slightly different
+ * times. A smaller part applies at once; a larger one applies once all other
+ * hosts have shrunk theirs, so that the hosts together keep to the limit in
+ * between as well. With many hosts, each may send a fraction of a request a
+ * second. If every host could save up a whole request, as many requests as
+ * there are hosts would be sent as soon as traffic reaches all of them.
+ * Therefore a host sends a request once its tokens reach a random threshold,
+ * drawn anew for each request, and owes the tokens missing to a whole one. And
+ * while no request is rejected, it saves only its part of a shared burst: with
+ * many hosts a fraction of a request.
  */
 export class LimitPart {
   #perSecond: number;
   #random: () => number;
-  /** Of a request, at which the next is sent. */
-  #threshold: number;
-  #keptOffAt = -Infinity;
-  /** Earned and not saved since the threshold was drawn. */
-  #unsaved = 0;
-  #told: Told[] = [];
+  /** Tokens, in [0, 1), at which the next request may be sent. */
+  #sendThreshold: number;
+  #rejectedAt = -Infinity;
+  /** Tokens beyond the bucket's capacity, since the threshold was drawn. */
+  #overflowTokens = 0;
+  #assignments: Assignment[] = [];
   #tokens = 0;
-  #filledAt: number;
-  #wanted = { sum: 0, at: 0 };
-  #wantedAt = -Infinity;
+  #refilledAt: number;
+  #demand = { sum: 0, at: 0 };
+  #lastDemandAt = -Infinity;
 
   /** @param random uniform in [0, 1). */
   constructor(perSecond: number, now: number, random: () => number) {
     this.#perSecond = perSecond;
     this.#random = random;
-    this.#threshold = random();
-    this.#filledAt = now;
-    this.#wanted.at = now;
+    this.#sendThreshold = random();
+    this.#refilledAt = now;
+    this.#demand.at = now;
   }
 
   get perSecond(): number {
@@ -65,108 +86,125 @@
     this.#perSecond = perSecond;
   }
 
-  /** A control host says which part this host may use, from 0 to 1. */
+  /** Sets the part that a control host assigned to this host, from 0 to 1. */
   tell(part: number, now: number): void {
-    this.#fill(now);
-    this.#told.push({ part, at: now });
-    this.#told = this.#heldLately(now);
+    this.#refill(now);
+    this.#assignments.push({ part, at: now });
+    this.#assignments = this.#recentAssignments(now);
   }
 
-  /** When it was last told, monotonic milliseconds; undefined for never. */
+  /**
+   * When a control host last assigned a part, monotonic milliseconds; undefined
+   * if never.
+   */
   get toldAt(): number | undefined {
-    return this.#told.at(-1)?.at;
+    return this.#assignments.at(-1)?.at;
   }
 
-  /** A request would go there, had it room. */
+  /** Counts a request that this host would send there, admitted or not. */
   want(now: number): void {
-    this.#decayWanted(now);
-    this.#wanted.sum += 1;
-    this.#wantedAt = now;
+    this.#decayDemand(now);
+    this.#demand.sum += 1;
+    this.#lastDemandAt = now;
   }
 
-  /** Requests a second that this host wanted to send there lately. */
+  /** Recent demand: requests a second that this host wanted to send there. */
   wantedPerSecond(now: number): number {
-    this.#decayWanted(now);
-    const lately = this.#wanted.sum * 1_000 / WANT_MILLISECONDS;
-    const pause = Math.max(1, now - this.#wantedAt);
-    return Math.min(lately, PAUSE_WANTS * 1_000 / pause);
+    this.#decayDemand(now);
+    const decayedRate = this.#demand.sum * 1_000 / DEMAND_DECAY_MILLISECONDS;
+    const idleMilliseconds = Math.max(1, now - this.#lastDemandAt);
+    return Math.min(decayedRate, OVERDUE_REQUESTS * 1_000 / idleMilliseconds);
   }
 
   /** Requests a second that this host may send there now. */
   rate(now: number): number {
-    return this.part(now) * Math.max(LEAST_PER_SECOND, this.#perSecond);
+    return this.part(now) * Math.max(MIN_REQUESTS_PER_SECOND, this.#perSecond);
   }
 
   /** The part of the limit that this host uses, from 0 to 1. */
   part(now: number): number {
-    const latest = this.#told.at(-1);
-    if (latest === undefined) return UNTOLD_PART;
-    const least = this.#heldLately(now).reduce(
-      (low, { part }) => Math.min(low, part),
+    const latest = this.#assignments.at(-1);
+    if (latest === undefined) return DEFAULT_PART;
+    const lowestPart = this.#recentAssignments(now).reduce(
+      (lowest, { part }) => Math.min(lowest, part),
       latest.part,
     );
-    return now - latest.at > STALE_MILLISECONDS ? least * STALE_SHARE : least;
+    return now - latest.at > ASSIGNMENT_TIMEOUT_MILLISECONDS
+      ? lowestPart * DISCONNECTED_FACTOR
+      : lowestPart;
   }
 
-  /** Whether a request that would go there is to be sent there. */
+  /**
+   * Whether a request that would best go to this backend server may be sent
+   * there now. Remembers a rejection, which lets the host save more tokens.
+   */
   admits(now: number): boolean {
     const hasRoom = this.hasRoom(now);
-    if (!hasRoom) this.#keptOffAt = now;
+    if (!hasRoom) this.#rejectedAt = now;
     return hasRoom;
   }
 
+  /** Whether a request may be sent there now; records no rejection. */
   hasRoom(now: number): boolean {
-    this.#fill(now);
-    return this.#tokens >= this.#threshold;
+    this.#refill(now);
+    return this.#tokens >= this.#sendThreshold;
   }
 
-  /** A request is sent there. */
+  /** Takes a token for a request that is sent. */
   take(now: number): void {
-    this.#fill(now);
+    this.#refill(now);
     this.#tokens -= 1;
     this.#drawThreshold();
   }
 
-  /** When there is room next, from now, milliseconds. */
+  /** Milliseconds from now until the next request may be sent. */
   untilRoom(now: number): number {
-    this.#fill(now);
-    const rate = Math.max(this.rate(now), LEAST_PER_SECOND * UNTOLD_PART);
-    return Math.max(0, this.#threshold - this.#tokens) / rate * 1_000;
+    this.#refill(now);
+    const rate = Math.max(
+      this.rate(now),
+      MIN_REQUESTS_PER_SECOND * DEFAULT_PART,
+    );
+    return Math.max(0, this.#sendThreshold - this.#tokens) / rate * 1_000;
   }
 
-  /** What held at some moment of the time that others need to shrink. */
-  #heldLately(now: number): Told[] {
-    return this.#told.filter((_, index) =>
-      (this.#told[index + 1]?.at ?? Infinity) > now - SETTLE_MILLISECONDS
+  /**
+   * Parts in force at some moment of the last `GROWTH_DELAY_MILLISECONDS`,
+   * which the other hosts need to shrink theirs.
+   */
+  #recentAssignments(now: number): Assignment[] {
+    return this.#assignments.filter((_, index) =>
+      (this.#assignments[index + 1]?.at ?? Infinity) >
+        now - GROWTH_DELAY_MILLISECONDS
     );
   }
 
-  #fill(now: number): void {
+  #refill(now: number): void {
     const rate = this.rate(now);
-    const earned = rate * Math.max(0, now - this.#filledAt) / 1_000;
-    const saved = Math.min(this.#most(now), this.#tokens + earned);
-    this.#unsaved += this.#tokens + earned - saved;
+    const earned = rate * Math.max(0, now - this.#refilledAt) / 1_000;
+    const saved = Math.min(this.#maxTokens(now), this.#tokens + earned);
+    this.#overflowTokens += this.#tokens + earned - saved;
     this.#tokens = saved;
-    this.#filledAt = now;
-    // What can't be saved up is another chance to send.
-    if (this.#unsaved >= 1) this.#drawThreshold();
+    this.#refilledAt = now;
+    // Every whole token that can't be saved gives another chance to send.
+    if (this.#overflowTokens >= 1) this.#drawThreshold();
   }
 
   #drawThreshold(): void {
-    this.#threshold = this.#random();
-    this.#unsaved = 0;
+    this.#sendThreshold = this.#random();
+    this.#overflowTokens = 0;
   }
 
-  #most(now: number): number {
-    const burst = this.rate(now) * BURST_SECONDS;
-    if (now - this.#keptOffAt <= KEPT_OFF_MILLISECONDS) return 1 + burst;
-    const all = SAVED_REQUESTS + SAVED_SECONDS * this.#perSecond;
-    return Math.min(1, this.part(now) * all) + burst;
+  #maxTokens(now: number): number {
+    const burst = this.rate(now) * HOST_BURST_SECONDS;
+    if (now - this.#rejectedAt <= REJECTION_TTL_MILLISECONDS) return 1 + burst;
+    const sharedBurst = SHARED_BURST_REQUESTS +
+      SHARED_BURST_SECONDS * this.#perSecond;
+    return Math.min(1, this.part(now) * sharedBurst) + burst;
   }
 
-  #decayWanted(now: number): void {
-    const age = Math.max(0, now - this.#wanted.at);
-    this.#wanted.sum *= Math.exp(-age / WANT_MILLISECONDS);
-    this.#wanted.at = now;
+  #decayDemand(now: number): void {
+    const age = Math.max(0, now - this.#demand.at);
+    this.#demand.sum *= Math.exp(-age / DEMAND_DECAY_MILLISECONDS);
+    this.#demand.at = now;
   }
 }
--- a/packages/core/src/named_limits/named_limit.ts
+++ b/packages/core/src/named_limits/named_limit.ts
@@ -1,8 +1,14 @@
-/** What one start of a backend server says that it takes of all hosts. */
+/**
+ * The request rate that one start of a backend server announces to accept from
+ * all hosts together.
+ */
 export type NamedLimit = {
   incarnation: string;
-  /** Requests a second; undefined once it names no limit any more. */
+  /** Requests a second; undefined once it announces no limit any more. */
   perSecond: number | undefined;
-  /** When it said so, monotonic milliseconds of the host that keeps it. */
+  /**
+   * When the backend server announced it, in monotonic milliseconds of the host
+   * that stores this object.
+   */
   saidAt: number;
 };
--- a/packages/core/src/named_limits/named_limits_test.ts
+++ b/packages/core/src/named_limits/named_limits_test.ts
@@ -8,26 +8,26 @@
 
 const STEP_MILLISECONDS = 10;
 const REPORT_MILLISECONDS = 250;
-const TELL_MILLISECONDS = 150;
+const ASSIGN_MILLISECONDS = 150;
 const WINDOW_MILLISECONDS = 4_000;
-const DAY_MILLISECONDS = 24_000;
-/** From the first naming until it has to hold; see the rule's own bound. */
-const SETTLED_MILLISECONDS = 3_000;
-const DUE = { restMilliseconds: 1_000, mostPerSecond: 55 };
+const RUN_MILLISECONDS = 24_000;
+/** After this long the hosts together must keep to the limit. */
+const STARTUP_MILLISECONDS = 3_000;
+const DUE_NEWS_OPTIONS = { restMilliseconds: 1_000, mostPerSecond: 55 };
 const INCARNATION = "one@1";
-const JUMP = 100;
+const SURGE_FACTOR = 100;
 const MOVE_MILLISECONDS = 2_000;
-const RUNS = 60;
-const SEEDS = 20;
+const PROPERTY_RUNS = 60;
+const SEED_COUNT = 20;
 
 type Host = {
   name: string;
   part: LimitPart;
-  /** What control told it lately. */
+  /** Parts that the control host assigned to this host lately. */
   due: DueNews;
-  /** Requests a second that would go to the backend server. */
+  /** Requests a second that this host would send to the backend server. */
   wants: number;
-  cutUntil: number;
+  disconnectedUntil: number;
   sent: number[];
 };
 
@@ -35,16 +35,19 @@
   seed: number;
   perSecond: number;
   wants: number[];
-  /** Whether all hosts get a hundred times as much in the second half. */
+  /** Whether all hosts get 100 times as many requests in the second half. */
   jumps: boolean;
-  /** Whether the traffic goes from host to host. */
+  /** Whether the traffic moves from host to host. */
   moves: boolean;
-  /** Part of the messages that is lost. */
-  lost: number;
+  /** Fraction of the messages that is lost, from 0 to 1. */
+  lossRate: number;
   faults: { at: number; kind: "cut" | "restart" | "control"; host: number }[];
 };
 
-/** Hosts that share a limit, over a network that delays, drops and cuts. */
+/**
+ * Simulates hosts that share a limit, on a network that delays and drops
+ * messages and disconnects hosts.
+ */
 class Schedule {
   readonly hosts: Host[];
   #plan: Plan;
@@ -59,34 +62,34 @@
     this.hosts = plan.wants.map((wants, index) => ({
       name: `host-${index}`,
       part: new LimitPart(plan.perSecond, 0, this.#random),
-      due: new DueNews(DUE),
+      due: new DueNews(DUE_NEWS_OPTIONS),
       wants,
-      cutUntil: -1,
+      disconnectedUntil: -1,
       sent: [],
     }));
   }
 
   run(): void {
-    for (; this.#now < DAY_MILLISECONDS; this.#now += STEP_MILLISECONDS) {
-      if (this.#plan.jumps && this.#now === DAY_MILLISECONDS / 2) this.#jump();
-      this.#strike();
+    for (; this.#now < RUN_MILLISECONDS; this.#now += STEP_MILLISECONDS) {
+      if (this.#plan.jumps && this.#now === RUN_MILLISECONDS / 2) this.#surge();
+      this.#injectFaults();
       if (this.#plan.moves && this.#now % MOVE_MILLISECONDS === 0) this.#move();
       this.#deliver();
       for (const [index, host] of this.hosts.entries()) {
-        this.#arrive(host);
+        this.#simulateArrival(host);
         if (this.#now % REPORT_MILLISECONDS === index * 20 % 240) {
           this.#report(host);
         }
       }
-      if (this.#now % TELL_MILLISECONDS === 0) this.#tellAll();
+      if (this.#now % ASSIGN_MILLISECONDS === 0) this.#assignParts();
     }
   }
 
-  #jump(): void {
-    for (const host of this.hosts) host.wants *= JUMP;
+  #surge(): void {
+    for (const host of this.hosts) host.wants *= SURGE_FACTOR;
   }
 
-  /** The traffic goes to the next hosts. */
+  /** Gives each host the traffic of the next one. */
   #move(): void {
     const wants = this.hosts.map((host) => host.wants);
     for (const [index, host] of this.hosts.entries()) {
@@ -94,14 +97,14 @@
     }
   }
 
-  #strike(): void {
+  #injectFaults(): void {
     for (const { at, kind, host } of this.#plan.faults) {
       if (at !== this.#now) continue;
-      const struck = this.hosts[host % this.hosts.length]!;
-      if (kind === "cut") struck.cutUntil = this.#now + 4_000;
+      const faulty = this.hosts[host % this.hosts.length]!;
+      if (kind === "cut") faulty.disconnectedUntil = this.#now + 4_000;
       if (kind === "control") this.#division = new LimitDivision();
       if (kind === "restart") {
-        struck.part = new LimitPart(
+        faulty.part = new LimitPart(
           this.#plan.perSecond,
           this.#now,
           this.#random,
@@ -110,7 +113,7 @@
     }
   }
 
-  #arrive(host: Host): void {
+  #simulateArrival(host: Host): void {
     const chance = host.wants * STEP_MILLISECONDS / 1_000;
     if (this.#random() >= chance) return;
     host.part.want(this.#now);
@@ -133,19 +136,19 @@
     });
   }
 
-  #tellAll(): void {
+  #assignParts(): void {
     for (const host of this.hosts) {
-      const [told] = this.#division.partsOf(host.name, this.#now);
-      if (told === undefined) continue;
-      const item = { key: INCARNATION, value: told.part };
+      const [assigned] = this.#division.partsOf(host.name, this.#now);
+      if (assigned === undefined) continue;
+      const item = { key: INCARNATION, value: assigned.part };
       if (host.due.select([item], this.#now).length === 0) continue;
-      this.#send(host, () => host.part.tell(told.part, this.#now));
+      this.#send(host, () => host.part.tell(assigned.part, this.#now));
     }
   }
 
   #send(host: Host, run: () => void): void {
-    if (this.#now < host.cutUntil) return;
-    if (this.#random() < this.#plan.lost) return;
+    if (this.#now < host.disconnectedUntil) return;
+    if (this.#random() < this.#plan.lossRate) return;
     const at = this.#now + 5 + this.#random() * 120;
     this.#messages.push({ at, run });
   }
@@ -156,15 +159,18 @@
     for (const { run } of due) run();
   }
 
-  /** Most that the hosts sent together in any window behind the first time. */
-  most(isCounted: (host: Host) => boolean): number {
+  /**
+   * Most requests that the hosts sent together in any window that ends after
+   * `STARTUP_MILLISECONDS`.
+   */
+  maxSentInWindow(isCounted: (host: Host) => boolean): number {
     const sent = this.hosts.filter(isCounted)
       .flatMap((host) => host.sent)
       .sort((left, right) => left - right);
     return Math.max(
       0,
       ...sent.map((end) =>
-        end < SETTLED_MILLISECONDS
+        end < STARTUP_MILLISECONDS
           ? 0
           : sent.filter((at) => at <= end && at > end - WINDOW_MILLISECONDS)
             .length
@@ -172,27 +178,27 @@
     );
   }
 
-  /** Sent a second in the second half. */
-  get laterRate(): number {
-    const half = DAY_MILLISECONDS / 2;
+  /** Requests sent a second in the second half. */
+  get secondHalfRate(): number {
+    const half = RUN_MILLISECONDS / 2;
     const sent = this.hosts.flatMap((host) => host.sent)
       .filter((at) => at >= half);
     return sent.length * 1_000 / half;
   }
 }
 
-function mostAllowed(perSecond: number): number {
+function maxAllowed(perSecond: number): number {
   return 1.5 * perSecond * WINDOW_MILLISECONDS / 1_000 + 5;
 }
 
-function play(plan: Partial<Plan>): Schedule {
+function simulate(plan: Partial<Plan>): Schedule {
   const schedule = new Schedule({
     seed: 1,
     perSecond: 2,
     wants: [],
     jumps: false,
     moves: false,
-    lost: 0,
+    lossRate: 0,
     faults: [],
     ...plan,
   });
@@ -200,15 +206,16 @@
   return schedule;
 }
 
-function meanLaterRate(plan: Partial<Plan>): number {
+function meanSecondHalfRate(plan: Partial<Plan>): number {
   let sum = 0;
-  for (let seed = 1; seed <= SEEDS; seed += 1) {
-    sum += play({ ...plan, seed }).laterRate;
+  for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
+    sum += simulate({ ...plan, seed }).secondHalfRate;
   }
-  return sum / SEEDS;
+  return sum / SEED_COUNT;
 }
 
-// Guards against hosts that together pass a limit while its parts move.
+// Guards against hosts that together exceed a limit while parts change.
+// Messages are delayed and lost, hosts disconnect and restart.
 test("the limit holds over all hosts, whatever is late, lost or restarted", () => {
   const fault = fc.record({
     at: fc.integer({ min: 300, max: 2_300 }).map((at) => at * 10),
@@ -224,63 +231,70 @@
     }),
     moves: fc.boolean(),
     jumps: fc.boolean(),
-    lost: fc.double({ min: 0, max: 0.1, noNaN: true }),
+    lossRate: fc.double({ min: 0, max: 0.1, noNaN: true }),
     faults: fc.array(fault, { maxLength: 4 }),
   });
   fc.assert(
     fc.property(plan, (drawn) => {
-      const schedule = play(drawn as Plan);
-      const struck = new Set(
+      const schedule = simulate(drawn as Plan);
+      const faulty = new Set(
         drawn.faults.filter(({ kind }) => kind !== "control")
           .map(({ host }) => `host-${host % drawn.wants.length}`),
       );
-      // Who was cut off or restarted is excused, not those beside it.
-      const most = schedule.most(({ name }) => !struck.has(name));
-      assert.ok(most <= mostAllowed(drawn.perSecond), `${most} in 4 s`);
+      // Hosts that were cut off or restarted may exceed it, the others may not.
+      const most = schedule.maxSentInWindow(({ name }) => !faulty.has(name));
+      assert.ok(most <= maxAllowed(drawn.perSecond), `${most} in 4 s`);
     }),
-    { numRuns: RUNS },
+    { numRuns: PROPERTY_RUNS },
   );
 });
 
-test("one busy host among idle ones gets nearly all of it", () => {
+test("one busy host among idle ones gets nearly all of the limit", () => {
   const idle = Array.from({ length: 9 }, () => 0.02);
   for (let seed = 1; seed <= 10; seed += 1) {
-    const { laterRate } = play({ seed, perSecond: 3, wants: [12, ...idle] });
-    assert.ok(laterRate >= 0.75 * 3, `seed ${seed}: ${laterRate} a second`);
+    const { secondHalfRate } = simulate({
+      seed,
+      perSecond: 3,
+      wants: [12, ...idle],
+    });
+    assert.ok(
+      secondHalfRate >= 0.75 * 3,
+      `seed ${seed}: ${secondHalfRate} a second`,
+    );
   }
 });
 
-// Guards against a limit below one request a second that starves all.
-test("fractions of a request starve neither the server nor a host", () => {
+// Guards against a limit below one request a second that starves all hosts.
+test("parts below one request starve neither the backend server nor a host", () => {
   const wants = Array.from({ length: 10 }, () => 3);
-  const rate = meanLaterRate({ perSecond: 0.8, wants });
+  const rate = meanSecondHalfRate({ perSecond: 0.8, wants });
   assert.ok(rate >= 0.6 * 0.8, `${rate} a second`);
 });
 
-// Guards against parts that are nothing whenever a host was not asked lately.
-test("sparse requests at many hosts use the limit as well", () => {
+// Guards against a part of 0 for every host that had no request lately.
+test("infrequent requests at many hosts can use most of the limit", () => {
   const wants = Array.from({ length: 10 }, () => 0.5);
-  const rate = meanLaterRate({ perSecond: 2, wants });
+  const rate = meanSecondHalfRate({ perSecond: 2, wants });
   assert.ok(rate >= 0.6 * 2, `${rate} a second`);
 });
 
-test("a limit above what is wanted keeps off little", () => {
+test("a limit above the demand rejects few requests", () => {
   const wants = Array.from({ length: 10 }, () => 0.1);
-  const rate = meanLaterRate({ perSecond: 3, wants });
+  const rate = meanSecondHalfRate({ perSecond: 3, wants });
   assert.ok(rate >= 0.6, `${rate} a second of 1 that is wanted`);
 });
 
-// Guards against all hosts that saved up a request and send it at one moment.
-test("traffic that jumps at all hosts at once keeps to the limit", () => {
+// Guards against all hosts sending a saved-up request at the same moment.
+test("the limit holds when traffic rises at all hosts at once", () => {
   for (let seed = 1; seed <= 60; seed += 1) {
     const wants = Array.from({ length: 10 }, () => 0.05);
-    const schedule = play({ seed, perSecond: 1, wants, jumps: true });
-    const most = schedule.most(() => true);
-    assert.ok(most <= mostAllowed(1), `seed ${seed}: ${most} in 4 s`);
+    const schedule = simulate({ seed, perSecond: 1, wants, jumps: true });
+    const most = schedule.maxSentInWindow(() => true);
+    assert.ok(most <= maxAllowed(1), `seed ${seed}: ${most} in 4 s`);
   }
 });
 
-test("who falls silent gives its part back", () => {
+test("a host that reports no demand for a while loses its part", () => {
   const division = new LimitDivision();
   const limit = { incarnation: INCARNATION, perSecond: 2, saidAt: 0 };
   division.name(limit, 0);
@@ -291,18 +305,18 @@
   assert.equal(division.partsOf("a", 3_000)[0]!.part, 1);
 });
 
-test("what was said later stands, in whichever order it comes", () => {
+test("the latest announcement applies, in whatever order they arrive", () => {
   const division = new LimitDivision();
-  const say = (perSecond: number | undefined, saidAt: number) =>
+  const announce = (perSecond: number | undefined, saidAt: number) =>
     division.name({ incarnation: INCARNATION, perSecond, saidAt }, 100);
-  assert.equal(say(2, 10), true);
-  assert.equal(say(undefined, 30), true);
-  assert.equal(say(2, 20), false);
-  const [told] = division.partsOf("a", 100);
-  assert.equal(told!.limit.perSecond, undefined);
+  assert.equal(announce(2, 10), true);
+  assert.equal(announce(undefined, 30), true);
+  assert.equal(announce(2, 20), false);
+  const [assigned] = division.partsOf("a", 100);
+  assert.equal(assigned!.limit.perSecond, undefined);
 });
 
-test("a part shrinks at once, and grows once all others have shrunk", () => {
+test("a part shrinks at once, and grows after the others had time to shrink", () => {
   const part = new LimitPart(10, 0, seededRandom(1));
   part.tell(0.5, 0);
   part.tell(0.2, 100);
