--- a/packages/core/src/limits/derive_limits.ts
+++ b/packages/core/src/limits/derive_limits.ts
@@ -1,15 +1,21 @@
 import type { ContractRow } from "../contracts/contract_row.ts";
 
 type DerivedLimits = {
-  /** Requests a second that one entry host keeps while cut off. */
+  /**
+   * Requests a second that one entry host may admit while it is cut off from
+   * the control hosts.
+   */
   floorRate: number;
-  /** Requests a second over all entry hosts. */
+  /** Requests a second that all entry hosts together may admit. */
   totalRate: number;
-  /** Requests that one entry host lets through at one moment. */
+  /** Requests that one entry host may admit at once. */
   burst: number;
 };
 
-/** Works out an entry host's limits from a contract. */
+/**
+ * Derives an entry host's limits from a contract. All are 0 if the contract is
+ * missing or retired.
+ */
 export function deriveLimits(
   contract: ContractRow | undefined,
   entryHosts: number,
--- a/packages/core/src/limits/divide_by_demand.ts
+++ b/packages/core/src/limits/divide_by_demand.ts
@@ -1,24 +1,25 @@
 type Demand = { host: string; wanted: number };
 
 /**
- * Divides `total` over hosts, max-min fair: whoever wants less than an equal
- * part gets what it wants, and the rest share what that leaves.
+ * Divides `total` among hosts by max-min fairness: a host that wants less than
+ * an equal share gets what it wants, and the others share the remainder. What
+ * is left when all hosts have what they want is divided equally.
  */
 export function divideByDemand(
   total: number,
   demands: Demand[],
 ): Map<string, number> {
   const shares = new Map<string, number>();
-  const rising = demands.toSorted((left, right) => left.wanted - right.wanted);
-  let left = total;
-  let hosts = rising.length;
-  for (const { host, wanted } of rising) {
-    const share = Math.min(wanted, left / hosts);
+  const byDemand = demands.toSorted((a, b) => a.wanted - b.wanted);
+  let remaining = total;
+  let hosts = byDemand.length;
+  for (const { host, wanted } of byDemand) {
+    const share = Math.min(wanted, remaining / hosts);
     shares.set(host, share);
-    left -= share;
+    remaining -= share;
     hosts -= 1;
   }
-  const bonus = left / Math.max(1, rising.length);
-  for (const [host, share] of shares) shares.set(host, share + bonus);
+  const surplus = remaining / Math.max(1, byDemand.length);
+  for (const [host, share] of shares) shares.set(host, share + surplus);
   return shares;
 }
--- a/packages/core/src/limits/host_allotment_row.ts
+++ b/packages/core/src/limits/host_allotment_row.ts
@@ -1,9 +1,15 @@
-/** An allotment that a host may still be using. Leader's clock, ms. */
+/**
+ * An allotment that a host may still be using. Times are milliseconds of the
+ * leader's clock.
+ */
 export type HostAllotmentRow = {
   sequence: number;
+  /** Requests a second. */
   rate: number;
+  /** Until when the host may use `rate` even above its floor. */
   grantUntil: number;
+  /** Until when the host admits no more than `rate`. */
   capUntil: number;
-  /** The host said that it took on just this one. */
+  /** The host reported that it applied exactly this allotment. */
   confirmed: boolean;
 };
--- a/packages/core/src/limits/host_ceiling.ts
+++ b/packages/core/src/limits/host_ceiling.ts
@@ -1,25 +1,26 @@
 import type { HostAllotmentRow } from "./host_allotment_row.ts";
 
-type Ceiling = {
+type CeilingOptions = {
+  /** Rate that the host falls back to while cut off, requests a second. */
   floor: number;
-  /** Allotments the host may be using: the last confirmed and all after. */
+  /** Allotments the host may be using: the last confirmed and all later. */
   allotments: HostAllotmentRow[];
   now: number;
-  /** Until when the answer must hold. */
+  /** Time up to which the result must hold. */
   until: number;
 };
 
 /**
- * The most that a host can let through at any time up to `until`. A host
- * that is cut off falls back to its floor once its cap has run out, so a cap
- * below the floor counts only when the host confirmed it and it outlasts
- * whatever is granted out of it.
+ * Returns the highest rate at which a host may admit requests at any time up
+ * to `until`. A host that is cut off falls back to its floor once its cap has
+ * expired. So a cap below the floor counts only if the host confirmed it and
+ * it lasts at least as long as what other hosts are granted on account of it.
  */
-export function hostCeiling(options: Ceiling): number {
+export function hostCeiling(options: CeilingOptions): number {
   const { floor, allotments, now, until } = options;
   const oldest = allotments[0];
-  const capped = oldest?.confirmed === true && oldest.capUntil >= until;
-  let ceiling = capped ? 0 : floor;
+  const isCapped = oldest?.confirmed === true && oldest.capUntil >= until;
+  let ceiling = isCapped ? 0 : floor;
   for (const row of allotments) {
     const held = row.grantUntil > now ? row.rate : Math.min(row.rate, floor);
     ceiling = Math.max(ceiling, held);
--- a/packages/core/src/limits/limit_allotter.ts
+++ b/packages/core/src/limits/limit_allotter.ts
@@ -8,9 +8,13 @@
 const GRANT_MILLISECONDS = 1_500;
 const CAP_MILLISECONDS = 4_000;
 const LEASE_MILLISECONDS = 2_000;
-/** Part of a contract that idle hosts keep, so that a first call passes. */
+/**
+ * Fraction of a contract's rate reserved for idle hosts, so that a first call
+ * is admitted on each of them.
+ */
 const IDLE_SHARE = 0.04;
-const HEADROOM = 1.2;
+/** Hosts are given this multiple of their demand, where there is enough. */
+const HEADROOM_FACTOR = 1.2;
 const SEQUENCES_PER_TERM = 1_000_000_000;
 
 type HostRow = {
@@ -18,7 +22,7 @@
   appliedIndex: number;
   sequence: number;
   demands: Map<string, number>;
-  /** Floors the host may be using, by workspace. */
+  /** Floors that the host may be using, requests a second, by workspace. */
   floors: Map<string, number>;
   allotments: Map<string, HostAllotmentRow[]>;
 };
@@ -38,31 +42,35 @@
 };
 
 /**
- * The leader's division of every contract over the entry hosts. At each
- * moment the most that all hosts together can let through is at most the
- * contract, whatever is lost or late on the way:
- * - a host counts a grant from when it sent the report that it answers, so
- *   the grant ends there no later than here;
- * - a host counts a cap from when it got it, so the cap ends there no
- *   earlier than here;
- * - nothing is raised before what it is taken from was confirmed lowered.
+ * Divides the rate of every contract among the entry hosts; used by the leader
+ * of the control hosts. At any time, all entry hosts together can admit no more
+ * than the contract, whichever messages are lost or delayed. An allotment is a
+ * grant, up to whose end the host may use the rate, and a cap, up to whose
+ * later end the host admits no more than the rate:
+ * - a host counts a grant from when it sent the report that the grant answers,
+ *   so the grant expires on the host no later than on the leader;
+ * - a host counts a cap from when it received it, so the cap expires on the
+ *   host no earlier than on the leader;
+ * - no rate is raised before the host that it is taken from has confirmed its
+ *   lower rate.
  */
 export class LimitAllotter {
   #hosts = new Map<string, HostRow>();
-  #quietUntil: number;
+  #firstGrantAt: number;
   #firstSequence: number;
 
   /**
-   * A new leader waits out what its predecessor may have granted. Sequences
-   * begin with the term, so that a confirmation or an allotment of an older
-   * term, late on its way, is never taken for one of this term.
+   * A new leader grants nothing until all grants of its predecessor must have
+   * expired. Sequences start at a value derived from the term, so that a
+   * delayed confirmation or allotment of an older term is never mistaken for
+   * one of this term.
    */
   constructor(now: number, term: number) {
-    this.#quietUntil = now + GRANT_MILLISECONDS;
+    this.#firstGrantAt = now + GRANT_MILLISECONDS;
     this.#firstSequence = term * SEQUENCES_PER_TERM;
   }
 
-  /** Takes in a host's report and answers with its allotments. */
+  /** Processes a host's report and returns the host's allotments. */
   takeReport(
     state: ControlState,
     report: HostReport,
@@ -71,12 +79,12 @@
     const host = this.#hostRow(report.host);
     host.heardAt = now;
     host.appliedIndex = report.appliedIndex;
-    confirm(host.allotments, report.allotmentSequence);
+    confirmAllotments(host.allotments, report.allotmentSequence);
     host.demands = new Map(
       report.demands.map(({ workspace, rate }) => [workspace, rate]),
     );
     host.sequence += 1;
-    const rates = now < this.#quietUntil
+    const rates = now < this.#firstGrantAt
       ? []
       : this.#allot(state, report.host, now);
     return {
@@ -87,7 +95,7 @@
     };
   }
 
-  /** Hosts with a live lease and the log index that each has applied. */
+  /** Hosts with an unexpired lease, and the log index that each has applied. */
   liveHosts(now: number): Map<string, number> {
     return new Map(
       [...this.#hosts]
@@ -99,22 +107,23 @@
   #allot(state: ControlState, host: string, now: number) {
     const rates: { workspace: string; rate: number }[] = [];
     for (const contract of state.contracts.values()) {
-      this.#learnFloor(state, host, contract);
-      if (this.#isWanted(contract.workspace, now)) {
+      this.#updateFloor(state, host, contract);
+      if (this.#hasDemand(contract.workspace, now)) {
         const rate = this.#rateFor(state, contract, { host, now });
-        this.#remember(host, contract.workspace, { rate, now });
+        this.#recordAllotment(host, contract.workspace, { rate, now });
         rates.push({ workspace: contract.workspace, rate });
       }
     }
     return rates;
   }
 
-  #isWanted(workspace: string, now: number): boolean {
+  #hasDemand(workspace: string, now: number): boolean {
     return [...this.liveHosts(now).keys()].some((name) =>
       (this.#hosts.get(name)!.demands.get(workspace) ?? 0) > 0
     );
   }
 
+  /** The host's target rate, as far as the other hosts' ceilings allow it. */
   #rateFor(
     state: ControlState,
     contract: ContractRow,
@@ -124,8 +133,8 @@
     const { workspace } = contract;
     const until = now + GRANT_MILLISECONDS;
     const { totalRate } = deriveLimits(contract, state.entryHosts.size);
-    let others = 0;
-    let away = 0;
+    let otherCeilings = 0;
+    let disconnectedCeilings = 0;
     for (const name of state.entryHosts.keys()) {
       if (name === host) continue;
       const ceiling = this.#ceiling(state, {
@@ -134,14 +143,18 @@
         now,
         until,
       });
-      others += ceiling;
-      if (!this.liveHosts(now).has(name)) away += ceiling;
+      otherCeilings += ceiling;
+      if (!this.liveHosts(now).has(name)) disconnectedCeilings += ceiling;
     }
-    const target = this.#target(totalRate - away, workspace, { host, now });
-    return Math.max(0, Math.min(target, totalRate - others));
+    const target = this.#targetRate(
+      totalRate - disconnectedCeilings,
+      workspace,
+      { host, now },
+    );
+    return Math.max(0, Math.min(target, totalRate - otherCeilings));
   }
 
-  #target(
+  #targetRate(
     total: number,
     workspace: string,
     options: { host: string; now: number },
@@ -152,13 +165,13 @@
       host,
       wanted: Math.max(
         idle,
-        (this.#hosts.get(host)!.demands.get(workspace) ?? 0) * HEADROOM,
+        (this.#hosts.get(host)!.demands.get(workspace) ?? 0) * HEADROOM_FACTOR,
       ),
     }));
     // What nobody asked for stays out, or each report would move it around.
-    const asked = demands.reduce((sum, demand) => sum + demand.wanted, 0);
+    const totalWanted = demands.reduce((sum, demand) => sum + demand.wanted, 0);
     const shares = divideByDemand(
-      Math.max(0, asked < total ? total : Math.min(total, asked)),
+      Math.max(0, totalWanted < total ? total : Math.min(total, totalWanted)),
       demands,
     );
     return shares.get(options.host) ?? 0;
@@ -183,15 +196,18 @@
     return Math.max(current, contract?.highestFloor ?? 0);
   }
 
-  /** Once a host has applied every change, its floor is the current one. */
-  #learnFloor(state: ControlState, host: string, contract: ContractRow): void {
+  /**
+   * Records the current floor for a host that has applied every change of the
+   * limits. Until then, an earlier floor may still be in use there.
+   */
+  #updateFloor(state: ControlState, host: string, contract: ContractRow): void {
     const row = this.#hosts.get(host)!;
     if (row.appliedIndex < state.limitsChangedAt) return;
     const { floorRate } = deriveLimits(contract, state.entryHosts.size);
     row.floors.set(contract.workspace, floorRate);
   }
 
-  #remember(
+  #recordAllotment(
     host: string,
     workspace: string,
     options: { rate: number; now: number },
@@ -229,17 +245,18 @@
 }
 
 /**
- * Takes a host's word that it holds the allotments of one answer. An earlier
- * answer may have been lost, so it counts as held only by its own number.
+ * Confirms the allotments of the one answer that a host reports as applied, and
+ * drops older allotments. An earlier answer may have been lost, so an allotment
+ * is confirmed only by its own sequence.
  */
-function confirm(
+function confirmAllotments(
   allotments: Map<string, HostAllotmentRow[]>,
   sequence: number,
 ): void {
   for (const [workspace, rows] of allotments) {
-    const at = rows.findIndex((row) => row.sequence === sequence);
-    if (at < 0) continue;
-    rows[at]!.confirmed = true;
-    allotments.set(workspace, rows.slice(at));
+    const index = rows.findIndex((row) => row.sequence === sequence);
+    if (index < 0) continue;
+    rows[index]!.confirmed = true;
+    allotments.set(workspace, rows.slice(index));
   }
 }
--- a/packages/core/src/limits/limits_test.ts
+++ b/packages/core/src/limits/limits_test.ts
@@ -22,16 +22,17 @@
   limiter: WorkspaceLimiter;
   state: ControlState;
   allotmentSequence: number;
-  cutUntil: number;
+  disconnectedUntil: number;
   reportAt: number;
-  /** Requests a second that arrive here. */
+  /** Requests a second that arrive at this host. */
   arrival: number;
-  owed: number;
+  /** Arrivals that are due and not simulated yet; may be a fraction. */
+  dueArrivals: number;
 };
 
 type Delayed = { at: number; run: () => void };
 
-function content(rate: number): ContractContent {
+function contractContent(rate: number): ContractContent {
   return {
     requests_per_second: rate,
     burst: BURST,
@@ -48,13 +49,16 @@
     kind: "change-contract",
     workspace: WORKSPACE,
     expected,
-    content: content(rate),
+    content: contractContent(rate),
     retired: false,
     digest: `${rate} ${expected}`,
   };
 }
 
-/** Entry hosts and a leader with a network that delays, drops and cuts. */
+/**
+ * Simulates entry hosts and a leader on a network that delays and drops
+ * messages and disconnects hosts.
+ */
 class LimitsSchedule {
   now = 0;
   readonly hosts: Host[];
@@ -77,10 +81,10 @@
       limiter: new WorkspaceLimiter(0),
       state: emptyControlState(),
       allotmentSequence: 0,
-      cutUntil: 0,
+      disconnectedUntil: 0,
       reportAt: this.#random() * REPORT_MILLISECONDS,
       arrival: 0,
-      owed: 0,
+      dueArrivals: 0,
     }));
     for (const host of HOSTS) {
       this.commit({
@@ -137,9 +141,9 @@
   }
 
   #arrive(host: Host): void {
-    host.owed += host.arrival * STEP_MILLISECONDS / 1_000;
-    while (host.owed >= 1) {
-      host.owed -= 1;
+    host.dueArrivals += host.arrival * STEP_MILLISECONDS / 1_000;
+    while (host.dueArrivals >= 1) {
+      host.dueArrivals -= 1;
       const admission = host.limiter.admit(this.now);
       if (admission.admitted) {
         this.admitted.push({ at: this.now, host: host.name });
@@ -160,11 +164,11 @@
       }],
     };
     const allotter = this.#allotter;
-    this.#carry(host, () => {
+    this.#deliverLater(host, () => {
       if (allotter !== this.#allotter) return;
       const answer = allotter.takeReport(this.#state, report, this.now);
       const last = this.#index;
-      this.#carry(host, () => {
+      this.#deliverLater(host, () => {
         this.#applyAll(host, last);
         if (answer.sequence <= host.allotmentSequence) return;
         host.allotmentSequence = answer.sequence;
@@ -179,15 +183,15 @@
     });
   }
 
-  #carry(host: Host, run: () => void): void {
-    if (this.now < host.cutUntil) return;
+  #deliverLater(host: Host, run: () => void): void {
+    if (this.now < host.disconnectedUntil) return;
     if (this.#lossy && this.#random() < 0.1) return;
     const slow = this.#lossy && this.#random() < 0.1 ? 600 : 10;
     const delay = 1 + this.#random() * slow;
     this.#delayed.push({
       at: this.now + delay,
       run: () => {
-        if (this.now >= host.cutUntil) run();
+        if (this.now >= host.disconnectedUntil) run();
       },
     });
   }
@@ -205,11 +209,12 @@
   }
 }
 
-test("hosts together never hold more than the contract", () => {
-  // Story: reports and allotments are lost and late, hosts are cut off and
-  // come back, leaders change, and the arrival moves from host to host. A
-  // customer who pays for 200 a second would get more if a cap ran out at
-  // the lender before the grant did at the borrower.
+test("the rates of all hosts never add up to more than the contract", () => {
+  // Guards against a cap that expires on the host that gave up a rate before
+  // the grant expires on the host that received it: a workspace with a contract
+  // for 200 requests a second would get more. Reports and allotments are lost
+  // and delayed, hosts are cut off and reconnect, leaders change, and arrivals
+  // move from host to host.
   console.log(`seeds 1 to ${SEEDS}`);
   for (let seed = 1; seed <= SEEDS; seed += 1) {
     const schedule = new LimitsSchedule(seed, { lossy: true });
@@ -220,7 +225,7 @@
       }
       if (random() < 0.003) {
         const host = schedule.hosts[Math.floor(random() * HOSTS.length)]!;
-        host.cutUntil = schedule.now + random() * 8_000;
+        host.disconnectedUntil = schedule.now + random() * 8_000;
       }
       if (random() < 0.0008) schedule.changeLeader();
       schedule.step();
@@ -234,7 +239,7 @@
   }
 });
 
-/** Over any window: at most the rate times its length, and the burst. */
+/** In any window, at most the burst plus the rate times its length. */
 function assertWindows(
   schedule: LimitsSchedule,
   options: { rate: number; seed: number },
@@ -253,15 +258,15 @@
 }
 
 test("a lowered contract holds once connected hosts have applied it", () => {
-  // Story: the operator halves a contract while the arrival is uneven and
-  // one host is cut off. Once every connected host has applied the change,
-  // they and the cut-off host's old floor stay within the old contract, and
-  // the connected ones within the new.
+  // Guards against hosts that exceed a contract halved by an operator while
+  // arrivals are uneven and one host is cut off. Once every connected host has
+  // applied the change, these hosts and the old floor of the cut-off host stay
+  // within the old contract, and the connected hosts within the new one.
   for (let seed = 1; seed <= 50; seed += 1) {
     const schedule = new LimitsSchedule(seed, { lossy: false });
     schedule.setArrivals([300, 0, 0, 50]);
     for (let step = 0; step < 800; step += 1) schedule.step();
-    schedule.hosts[3]!.cutUntil = schedule.now + 60_000;
+    schedule.hosts[3]!.disconnectedUntil = schedule.now + 60_000;
     schedule.commit(contractCommand(RATE / 2, 1));
     for (let step = 0; step < 120; step += 1) schedule.step();
     const connected = schedule.hosts.slice(0, 3).reduce(
@@ -276,9 +281,10 @@
   }
 });
 
-test("all but a twentieth of a contract can be used however uneven", () => {
-  // Story: the balancer sends a customer's calls to one entry host only, or
-  // its callers move. A fixed quarter each would refuse three quarters.
+test("95% of a contract can be used, however uneven the arrivals", () => {
+  // Guards against a division that ignores demand. If the load balancer sends
+  // all calls of a workspace to one entry host, or its callers move, a fixed
+  // quarter for each of four hosts would refuse three quarters of the calls.
   for (const arrivals of [[400, 0, 0, 0], [200, 200, 1, 0], [90, 90, 90, 90]]) {
     const schedule = new LimitsSchedule(7, { lossy: false });
     schedule.setArrivals(arrivals);
--- a/packages/core/src/limits/workspace_limiter.ts
+++ b/packages/core/src/limits/workspace_limiter.ts
@@ -9,33 +9,33 @@
   | { admitted: true }
   | { admitted: false; retryAfterMilliseconds: number };
 
-/** One entry host's part of one workspace's contract. */
+/** Token bucket for one entry host's share of one workspace's contract. */
 export class WorkspaceLimiter {
   #tokens = 0;
-  #filledAt: number;
+  #refilledAt: number;
   #allotment: Allotment | undefined;
   #contract: ContractRow | undefined;
   #entryHosts = 1;
-  #asked = 0;
+  #windowArrivals = 0;
   #windowStart: number;
-  #demand = 0;
+  #lastWindowRate = 0;
 
   constructor(now: number) {
-    this.#filledAt = now;
+    this.#refilledAt = now;
     this.#windowStart = now;
   }
 
   /**
-   * Takes on a changed contract. A lowered contract scales the allotment at
-   * once: waiting for the next one would let the old rate through for a
-   * moment after the change was reported in force.
+   * Applies a contract. A lowered contract scales the current allotment down at
+   * once: otherwise, requests would be admitted at the old rate for a moment
+   * after the change was reported in force, until the next allotment arrived.
    */
   setContract(
     contract: ContractRow | undefined,
     entryHosts: number,
     now: number,
   ): void {
-    this.#fill(now);
+    this.#refill(now);
     const before = deriveLimits(this.#contract, 1).totalRate;
     const after = deriveLimits(contract, 1).totalRate;
     if (this.#allotment !== undefined && after < before) {
@@ -45,29 +45,35 @@
     this.#entryHosts = entryHosts;
   }
 
-  /** `grantUntil` counts from the report's sending, `capUntil` from now. */
+  /**
+   * Replaces the allotment. The caller counts `grantUntil` from when the host
+   * sent its report, and `capUntil` from `now`.
+   */
   setAllotment(allotment: Allotment, now: number): void {
-    this.#fill(now);
+    this.#refill(now);
     this.#allotment = { ...allotment };
   }
 
-  /** Requests a second that this host lets through now. */
+  /**
+   * Requests a second that this host may admit now: the allotted rate until the
+   * grant ends, then at most the floor, and the floor once the cap has ended.
+   */
   rate(now: number): number {
     const { floorRate, totalRate } = deriveLimits(
       this.#contract,
       this.#entryHosts,
     );
-    const held = this.#allotment;
-    if (held === undefined || now >= held.capUntil) return floorRate;
-    const rate = now < held.grantUntil
-      ? held.rate
-      : Math.min(held.rate, floorRate);
+    const allotment = this.#allotment;
+    if (allotment === undefined || now >= allotment.capUntil) return floorRate;
+    const rate = now < allotment.grantUntil
+      ? allotment.rate
+      : Math.min(allotment.rate, floorRate);
     return Math.min(rate, totalRate);
   }
 
   admit(now: number): Admission {
-    this.#count(now);
-    this.#fill(now);
+    this.#countArrival(now);
+    this.#refill(now);
     if (this.#tokens >= 1) {
       this.#tokens -= 1;
       return { admitted: true };
@@ -79,32 +85,32 @@
     return { admitted: false, retryAfterMilliseconds };
   }
 
-  /** Requests a second that callers asked for lately, let through or not. */
+  /** Requests a second that callers sent lately, admitted or not. */
   demand(now: number): number {
-    this.#roll(now);
+    this.#rollWindow(now);
     const elapsed = now - this.#windowStart;
-    const current = this.#asked * 1_000 /
+    const current = this.#windowArrivals * 1_000 /
       Math.max(elapsed, DEMAND_WINDOW_MILLISECONDS);
-    return Math.max(this.#demand, current);
+    return Math.max(this.#lastWindowRate, current);
   }
 
-  #count(now: number): void {
-    this.#roll(now);
-    this.#asked += 1;
+  #countArrival(now: number): void {
+    this.#rollWindow(now);
+    this.#windowArrivals += 1;
   }
 
-  #roll(now: number): void {
+  #rollWindow(now: number): void {
     const elapsed = now - this.#windowStart;
     if (elapsed < DEMAND_WINDOW_MILLISECONDS) return;
-    this.#demand = this.#asked * 1_000 / elapsed;
-    this.#asked = 0;
+    this.#lastWindowRate = this.#windowArrivals * 1_000 / elapsed;
+    this.#windowArrivals = 0;
     this.#windowStart = now;
   }
 
-  #fill(now: number): void {
+  #refill(now: number): void {
     const { burst } = deriveLimits(this.#contract, this.#entryHosts);
-    const earned = this.rate(now) * (now - this.#filledAt) / 1_000;
+    const earned = this.rate(now) * (now - this.#refilledAt) / 1_000;
     this.#tokens = Math.min(burst, this.#tokens + Math.max(0, earned));
-    this.#filledAt = now;
+    this.#refilledAt = now;
   }
 }
