--- a/packages/core/src/routing/backend_server_row.ts
+++ b/packages/core/src/routing/backend_server_row.ts
@@ -1,33 +1,34 @@
-/** A backend server as an entry host knows it. Times in milliseconds. */
+/** A backend server as seen by one entry host. Times are in milliseconds. */
 export type BackendServerRow = {
   backendServer: string;
   dataCentre: string;
   service: string;
-  /** The agent process in front of it. */
+  /** Identifies the agent process in front of the backend server. */
   incarnation: string;
   internalAddress: string;
   chunkAddress: string;
   checksFencing: boolean;
   repeatable: boolean;
   usesWeights: boolean;
-  /** Calls that it works on at once. */
+  /** Calls that the backend server processes concurrently. */
   slots: number;
   servingVersion: string;
   accepting: boolean;
   linkBytesPerSecond: number;
   heardAt: number;
   acceptingSince: number;
-  /** Calls from this entry host under way there. */
+  /** Calls of this entry host in flight on the backend server. */
   ownInFlight: number;
   load: {
     running: number;
     queued: number;
     serviceMilliseconds: number;
-    /** Own calls under way when the report came. */
+    /** Calls of this entry host in flight when the report arrived. */
     ownInFlight: number;
     at: number;
   };
-  /** Failures in a row seen by this entry host. */
+  /** Consecutive failures seen by this entry host. */
   failures: number;
+  /** Until when the backend server is ejected; see `OutlierDetector`. */
   asideUntil: number;
 };
--- a/packages/core/src/routing/backend_server_table.ts
+++ b/packages/core/src/routing/backend_server_table.ts
@@ -1,8 +1,8 @@
 import type { BackendServerRow } from "./backend_server_row.ts";
 
-const SILENT_MILLISECONDS = 2_500;
+const HEARTBEAT_TIMEOUT_MILLISECONDS = 2_500;
 
-/** The backend servers that announce themselves to this entry host. */
+/** The backend servers whose agents announce them to this entry host. */
 export class BackendServerTable {
   #rows = new Map<string, BackendServerRow>();
 
@@ -26,7 +26,8 @@
     return this.all().filter((row) => row.service === service);
   }
 
+  /** Whether the agent has been heard from within the timeout. */
   isLive(row: BackendServerRow, now: number): boolean {
-    return now - row.heardAt < SILENT_MILLISECONDS;
+    return now - row.heardAt < HEARTBEAT_TIMEOUT_MILLISECONDS;
   }
 }
--- a/packages/core/src/routing/new_backend_server_row.ts
+++ b/packages/core/src/routing/new_backend_server_row.ts
@@ -1,6 +1,6 @@
 import type { BackendServerRow } from "./backend_server_row.ts";
 
-/** What a backend server's agent says of it. */
+/** The fields that the agent of a backend server announces. */
 type Announced = Pick<
   BackendServerRow,
   | "backendServer"
@@ -18,7 +18,7 @@
   | "linkBytesPerSecond"
 >;
 
-/** The row of a backend server that nothing else is known of yet. */
+/** Creates the row of a backend server that was just announced. */
 export function newBackendServerRow(
   announced: Announced,
   now: number,
--- a/packages/core/src/routing/outlier_detector.ts
+++ b/packages/core/src/routing/outlier_detector.ts
@@ -1,13 +1,13 @@
 import type { BackendServerRow } from "./backend_server_row.ts";
 
-const FAILURES_TO_PUT_ASIDE = 3;
-const FIRST_ASIDE_MILLISECONDS = 500;
-const LONGEST_ASIDE_MILLISECONDS = 30_000;
+const FAILURES_TO_EJECT = 3;
+const INITIAL_EJECTION_MILLISECONDS = 500;
+const MAX_EJECTION_MILLISECONDS = 30_000;
 
 /**
- * Puts backend servers aside that fail again and again. One that fails fast
- * looks idle, so by load alone it would draw all traffic. One call is let
- * through after each pause; its success brings the backend server back.
+ * Ejects backend servers that fail repeatedly. A backend server that fails fast
+ * looks idle, so by load alone it would attract all traffic. After each
+ * ejection one call is admitted (half-open); its success ends the ejection.
  */
 export class OutlierDetector {
   recordSuccess(row: BackendServerRow): void {
@@ -17,15 +17,17 @@
 
   recordFailure(row: BackendServerRow, now: number): void {
     row.failures += 1;
-    if (row.failures < FAILURES_TO_PUT_ASIDE) return;
-    const times = row.failures - FAILURES_TO_PUT_ASIDE;
-    const pause = FIRST_ASIDE_MILLISECONDS * 2 ** Math.min(times, 8);
-    row.asideUntil = now + Math.min(pause, LONGEST_ASIDE_MILLISECONDS);
+    if (row.failures < FAILURES_TO_EJECT) return;
+    const doublings = row.failures - FAILURES_TO_EJECT;
+    const ejectionMilliseconds = INITIAL_EJECTION_MILLISECONDS *
+      2 ** Math.min(doublings, 8);
+    row.asideUntil = now +
+      Math.min(ejectionMilliseconds, MAX_EJECTION_MILLISECONDS);
   }
 
-  isAside(row: BackendServerRow, now: number): boolean {
+  isEjected(row: BackendServerRow, now: number): boolean {
     if (now < row.asideUntil) return true;
-    const onTrial = row.failures >= FAILURES_TO_PUT_ASIDE;
-    return onTrial && row.ownInFlight > 0;
+    const isHalfOpen = row.failures >= FAILURES_TO_EJECT;
+    return isHalfOpen && row.ownInFlight > 0;
   }
 }
--- a/packages/core/src/routing/predict_wait.ts
+++ b/packages/core/src/routing/predict_wait.ts
@@ -3,21 +3,24 @@
 
 const DEFAULT_SERVICE_MILLISECONDS = 100;
 const SLOW_START_MILLISECONDS = 1_000;
-const SLOW_START_SHARE = 0.25;
+const SLOW_START_INITIAL_SHARE = 0.25;
 
-/** A backend server that just came live takes a share that grows to whole. */
+/**
+ * Slots to count on. A backend server that has just started to accept calls
+ * gets a share of its slots that grows linearly to all of them.
+ */
 function usableSlots(row: BackendServerRow, now: number): number {
   const age = now - row.acceptingSince;
   if (age >= SLOW_START_MILLISECONDS) return row.slots;
-  const share = SLOW_START_SHARE +
-    (1 - SLOW_START_SHARE) * (age / SLOW_START_MILLISECONDS);
+  const share = SLOW_START_INITIAL_SHARE +
+    (1 - SLOW_START_INITIAL_SHARE) * (age / SLOW_START_MILLISECONDS);
   return Math.max(1, row.slots * share);
 }
 
-/** Milliseconds until a call sent now would begin there. */
+/** Predicted milliseconds until a call sent now would start there. */
 export function predictWait(row: BackendServerRow, now: number): number {
   const waiting = estimateInFlight(row, now) + 1 - usableSlots(row, now);
   if (waiting <= 0) return 0;
-  const each = row.load.serviceMilliseconds || DEFAULT_SERVICE_MILLISECONDS;
-  return waiting * each / row.slots;
+  const perCall = row.load.serviceMilliseconds || DEFAULT_SERVICE_MILLISECONDS;
+  return waiting * perCall / row.slots;
 }
--- a/packages/core/src/routing/predicted_wait_policy.ts
+++ b/packages/core/src/routing/predicted_wait_policy.ts
@@ -4,30 +4,33 @@
 import { predictWait } from "./predict_wait.ts";
 import type { RoutingPolicy } from "./routing_policy.ts";
 
-const SAMPLE = 16;
-/** Times the usual: slower than this is no chance any more. */
+/** Candidates sampled in the own data centre, and as many in all others. */
+const SAMPLE_SIZE = 16;
+/** A service time above this multiple of the usual one isn't due to chance. */
 const SLOW_RATIO = 2;
 const DEFAULT_SERVICE_MILLISECONDS = 100;
-const REMEMBERED_PREFIXES = 4_096;
-const FULLNESS_WORTH = 0.5;
-const CACHED_PREFIX_WORTH_MILLISECONDS = 20;
+const MAX_REMEMBERED_PREFIXES = 4_096;
+const UTILIZATION_WEIGHT = 0.5;
+const CACHED_PREFIX_BONUS_MILLISECONDS = 20;
 
 type Options = {
   random: () => number;
-  /** Own data centre: others cost the crossing. */
+  /** This entry host's data centre. */
   dataCentre: string;
+  /** Cost added to a call to another data centre. */
   crossingMilliseconds: number;
 };
 
 /**
- * Least expected time, by the calls that this entry host itself has under way
- * there; late reports and learned times count only where they say much. A
- * remembered prefix is a hint: worth some milliseconds, never a reason to
- * wait for longer.
+ * Chooses the backend server with the lowest expected time, based on the calls
+ * that this entry host itself has in flight there. Delayed load reports and
+ * learned service times count only where they are conclusive. A remembered
+ * prompt prefix is a hint that the backend server has it cached: worth some
+ * milliseconds, never a reason to wait for longer.
  */
 export class PredictedWaitPolicy implements RoutingPolicy {
   #options: Options;
-  #prefixes = new LRUCache<string, string>({ max: REMEMBERED_PREFIXES });
+  #prefixes = new LRUCache<string, string>({ max: MAX_REMEMBERED_PREFIXES });
 
   constructor(options: Options) {
     this.#options = options;
@@ -41,7 +44,7 @@
       ? undefined
       : this.#prefixes.get(call.prefix);
     const sample = this.#sample(candidates, remembered);
-    const usual = usualServiceMilliseconds(sample);
+    const usual = medianServiceMilliseconds(sample);
     let best: BackendServerRow | undefined;
     let bestCost = Infinity;
     for (const row of sample) {
@@ -63,7 +66,7 @@
     const far = candidates.filter((row) => row.dataCentre !== dataCentre);
     const picked = candidates.filter((row) => row.backendServer === remembered);
     for (const group of [near, far]) {
-      for (let count = 0; count < SAMPLE && group.length > 0; count += 1) {
+      for (let count = 0; count < SAMPLE_SIZE && group.length > 0; count += 1) {
         const index = Math.floor(random() * group.length);
         picked.push(...group.splice(index, 1));
       }
@@ -80,18 +83,18 @@
       ? 0
       : this.#options.crossingMilliseconds;
     const cached = row.backendServer === remembered
-      ? CACHED_PREFIX_WORTH_MILLISECONDS
+      ? CACHED_PREFIX_BONUS_MILLISECONDS
       : 0;
-    const fullness = estimateInFlight(row, now) / row.slots;
-    // Learned times differ by chance; only a much longer one is believed.
+    const utilization = estimateInFlight(row, now) / row.slots;
+    // Learned times vary by chance, so only a much longer one is used.
     const learned = row.load.serviceMilliseconds;
-    const each = learned > SLOW_RATIO * usual ? learned : usual;
-    const working = each * (1 + FULLNESS_WORTH * fullness);
+    const perCall = learned > SLOW_RATIO * usual ? learned : usual;
+    const working = perCall * (1 + UTILIZATION_WEIGHT * utilization);
     return predictWait(row, now) + working + crossing - cached;
   }
 }
 
-function usualServiceMilliseconds(rows: BackendServerRow[]): number {
+function medianServiceMilliseconds(rows: BackendServerRow[]): number {
   const times = rows
     .map((row) => row.load.serviceMilliseconds || DEFAULT_SERVICE_MILLISECONDS)
     .sort((left, right) => left - right);
--- a/packages/core/src/routing/retry_budget.ts
+++ b/packages/core/src/routing/retry_budget.ts
@@ -1,21 +1,23 @@
 const RETRIES_PER_CALL = 0.08;
-const MOST_SAVED = 10;
+const MAX_TOKENS = 10;
 
 /**
- * Lets retries through as a small part of first tries. Retries of calls that
- * fail because everything is slow would otherwise multiply the load just
- * then; the budget runs dry and the failure is answered instead.
+ * Limits retries to a small fraction of the calls. Otherwise, retries of calls
+ * that fail because everything is slow would multiply the load at that very
+ * moment. Once the budget is exhausted, the caller gets the failure instead.
  */
 export class RetryBudget {
-  #saved = MOST_SAVED;
+  #tokens = MAX_TOKENS;
 
+  /** Earns a fraction of a retry for each new call. */
   countCall(): void {
-    this.#saved = Math.min(MOST_SAVED, this.#saved + RETRIES_PER_CALL);
+    this.#tokens = Math.min(MAX_TOKENS, this.#tokens + RETRIES_PER_CALL);
   }
 
+  /** Takes one retry from the budget; returns false if it is exhausted. */
   tryRetry(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#tokens < 1) return false;
+    this.#tokens -= 1;
     return true;
   }
 }
--- a/packages/core/src/routing/round_robin_policy.ts
+++ b/packages/core/src/routing/round_robin_policy.ts
@@ -1,7 +1,7 @@
 import type { BackendServerRow } from "./backend_server_row.ts";
 import type { RoutingPolicy } from "./routing_policy.ts";
 
-/** The naive twin: one after the other, whatever their load. */
+/** Baseline for experiments: each candidate in turn, regardless of load. */
 export class RoundRobinPolicy implements RoutingPolicy {
   #next = 0;
 
--- a/packages/core/src/routing/router.ts
+++ b/packages/core/src/routing/router.ts
@@ -7,21 +7,21 @@
 import type { RoutingDecision } from "./routing_decision.ts";
 import type { RoutingPolicy } from "./routing_policy.ts";
 
-const RETRY_WHEN_NONE_MILLISECONDS = 1_000;
-const LEAST_RETRY_MILLISECONDS = 100;
-/** Part of the deadline that waiting may take; the rest is for the work. */
-const WAIT_SHARE = 0.5;
+const UNAVAILABLE_RETRY_MILLISECONDS = 1_000;
+const MIN_RETRY_MILLISECONDS = 100;
+/** Fraction of the deadline that waiting may take; the rest is for the work. */
+const MAX_WAIT_SHARE = 0.5;
 
 type Call = {
   service: string;
   prefix: string;
   deadlineMilliseconds: number;
-  /** Backend servers that this call has tried. */
+  /** Backend servers to which this call was already sent. */
   tried: Set<string>;
   now: number;
 };
 
-/** Decides where a call goes, or refuses it early. */
+/** Chooses the backend server for a call, or refuses the call early. */
 export class Router {
   #table: BackendServerTable;
   #outliers: OutlierDetector;
@@ -47,47 +47,52 @@
     const usable = live.filter((row) =>
       row.accepting && !call.tried.has(row.backendServer)
     );
-    const versioned = this.#withOneVersion(state, call.service, usable);
+    const versioned = this.#preferCurrentVersion(state, call.service, usable);
     if (versioned.length === 0) return refuse("no-complete-model");
     const healthy = versioned.filter((row) =>
-      !this.#outliers.isAside(row, call.now)
+      !this.#outliers.isEjected(row, call.now)
     );
     if (healthy.length === 0) return refuse("no-backend-server");
-    return this.#place(healthy, call);
+    return this.#chooseInTime(healthy, call);
   }
 
-  /** Prefers the current version; an older complete one is as whole. */
-  #withOneVersion(
+  /**
+   * Prefers backend servers with the current version of the weights. Those with
+   * an older version are usable too, as that version is complete.
+   */
+  #preferCurrentVersion(
     state: ControlState,
     service: string,
     rows: BackendServerRow[],
   ): BackendServerRow[] {
     const target = state.weights.get(service);
-    const plain = rows.filter((row) => !row.usesWeights);
+    const withoutWeights = rows.filter((row) => !row.usesWeights);
     const loaded = rows.filter((row) =>
       row.usesWeights && row.servingVersion !== ""
     );
-    if (target === undefined) return [...plain, ...loaded];
+    if (target === undefined) return [...withoutWeights, ...loaded];
     const name = versionName(target.manifest);
     const current = loaded.filter((row) => row.servingVersion === name);
-    // During a rollout the old version still carries most of the load; the
-    // few that are through must not get all of it.
-    const enough = current.length * 2 >= loaded.length;
-    return [...plain, ...(enough ? current : loaded)];
+    // During a rollout, backend servers with the old version still carry most
+    // of the load. The few that have switched must not receive all of it.
+    const isHalfCurrent = current.length * 2 >= loaded.length;
+    return [...withoutWeights, ...(isHalfCurrent ? current : loaded)];
   }
 
-  #place(rows: BackendServerRow[], call: Call): RoutingDecision {
-    const allowed = call.deadlineMilliseconds * WAIT_SHARE;
+  #chooseInTime(rows: BackendServerRow[], call: Call): RoutingDecision {
+    const allowed = call.deadlineMilliseconds * MAX_WAIT_SHARE;
     const inTime = rows.filter((row) => predictWait(row, call.now) <= allowed);
     const to = this.#policy.choose(inTime, call);
     if (to !== undefined) return { kind: "send", to };
-    const least = Math.min(...rows.map((row) => predictWait(row, call.now)));
+    const shortestWait = Math.min(
+      ...rows.map((row) => predictWait(row, call.now)),
+    );
     return {
       kind: "refuse",
       reason: "overloaded",
       retryAfterMilliseconds: Math.max(
-        LEAST_RETRY_MILLISECONDS,
-        Math.ceil(least - allowed),
+        MIN_RETRY_MILLISECONDS,
+        Math.ceil(shortestWait - allowed),
       ),
     };
   }
@@ -99,6 +104,6 @@
   return {
     kind: "refuse",
     reason,
-    retryAfterMilliseconds: RETRY_WHEN_NONE_MILLISECONDS,
+    retryAfterMilliseconds: UNAVAILABLE_RETRY_MILLISECONDS,
   };
 }
--- a/packages/core/src/routing/routing_decision.ts
+++ b/packages/core/src/routing/routing_decision.ts
@@ -1,6 +1,6 @@
 import type { BackendServerRow } from "./backend_server_row.ts";
 
-/** Where a call goes, or why it goes nowhere. */
+/** The backend server for a call, or the reason to refuse the call. */
 export type RoutingDecision =
   | { kind: "send"; to: BackendServerRow }
   | {
--- a/packages/core/src/routing/routing_policy.ts
+++ b/packages/core/src/routing/routing_policy.ts
@@ -1,13 +1,16 @@
 import type { BackendServerRow } from "./backend_server_row.ts";
 
-/** What is to be routed. */
+/** The properties of a call that a policy uses. */
 type Call = {
-  /** The call's first bytes, for prompt-prefix caches; empty for none. */
+  /**
+   * The call's first bytes, to match prompt-prefix caches; empty if there are
+   * none.
+   */
   prefix: string;
   now: number;
 };
 
-/** Chooses one of the backend servers that could take a call. */
+/** Chooses among the backend servers that could take a call. */
 export interface RoutingPolicy {
   choose(
     candidates: BackendServerRow[],
