--- a/packages/core/src/consensus/leadership.ts
+++ b/packages/core/src/consensus/leadership.ts
@@ -10,53 +10,56 @@
 import type { RaftOutbox } from "./raft_outbox.ts";
 import { Replicator } from "./replicator.ts";
 
-const NO_DATA = new Uint8Array(0);
+const EMPTY_DATA = new Uint8Array(0);
 
 type Options = {
-  raft: RaftOptions;
+  raftOptions: RaftOptions;
   term: number;
-  member: MemberLog;
+  memberLog: MemberLog;
   outbox: RaftOutbox;
-  message: (to: string, body: PeerMessage["body"]) => PeerMessage;
+  createMessage: (to: string, body: PeerMessage["body"]) => PeerMessage;
   now: number;
 };
 
-/** What a member holds for as long as it leads one term. */
+/** A member's state while it leads one term. */
 export class Leadership {
   #options: Options;
   #replicator: Replicator;
-  #heartbeatAt = 0;
-  #transferTo = "";
-  #transferUntil = 0;
+  #nextHeartbeatAt = 0;
+  #transferTargetId = "";
+  #transferDeadline = 0;
 
   constructor(options: Options) {
-    const { raft, member, outbox, message, now } = options;
+    const { raftOptions, memberLog, outbox, createMessage, now } = options;
     this.#options = options;
     this.#replicator = new Replicator({
-      selfId: raft.id,
-      log: member.log,
-      membership: member.membership,
-      send: (to, body) => outbox.sendNow(message(to, body)),
-      snapshot: () => member.snapshot,
+      selfId: raftOptions.id,
+      log: memberLog.log,
+      membership: memberLog.membership,
+      send: (to, body) => outbox.sendNow(createMessage(to, body)),
+      snapshot: () => memberLog.snapshot,
       now,
     });
-    this.append(EntryKind.BLANK, NO_DATA);
-    this.flush(now);
+    this.append(EntryKind.BLANK, EMPTY_DATA);
+    this.replicate(now);
   }
 
-  /** Whether a majority has answered within the election time. */
-  isHeld(now: number): boolean {
-    const { electionMilliseconds } = this.#options.raft;
+  /** Whether a majority has answered within the election timeout. */
+  hasQuorumContact(now: number): boolean {
+    const { electionMilliseconds } = this.#options.raftOptions;
     return this.#replicator.hasQuorumContact(now, electionMilliseconds);
   }
 
-  /** While the lead is handed on, nothing new is taken. */
-  takesProposals(now: number): boolean {
-    return this.isHeld(now) && this.#transferTo === "";
+  /**
+   * Whether this leader has a quorum and no leadership transfer is under way.
+   * New entries during a transfer would put off the target's catching up.
+   */
+  acceptsProposals(now: number): boolean {
+    return this.hasQuorumContact(now) && this.#transferTargetId === "";
   }
 
   get regressedMembers(): string[] {
-    return this.#replicator.regressed;
+    return this.#replicator.regressedMembers;
   }
 
   get confirmedRound(): number {
@@ -72,66 +75,78 @@
   }
 
   append(kind: EntryKind, data: Uint8Array): number {
-    const { member, term } = this.#options;
-    return member.appendOwn(term, kind, data);
+    const { memberLog, term } = this.#options;
+    return memberLog.appendNewEntry(term, kind, data);
   }
 
   tick(now: number): void {
-    if (this.#transferTo !== "" && now >= this.#transferUntil) {
-      this.#transferTo = "";
+    if (this.#transferTargetId !== "" && now >= this.#transferDeadline) {
+      this.#transferTargetId = "";
     }
-    if (now >= this.#heartbeatAt) this.flush(now);
+    if (now >= this.#nextHeartbeatAt) this.replicate(now);
   }
 
-  /** Sends every member what it lacks, or a heartbeat; gives back the round. */
-  flush(now: number): number {
-    const { raft, member } = this.#options;
-    this.#heartbeatAt = now + raft.heartbeatMilliseconds;
-    return this.#replicator.broadcast(member.commitIndex, now);
+  /**
+   * Sends every member the entries it lacks, or a heartbeat; returns the
+   * number of this round.
+   */
+  replicate(now: number): number {
+    const { raftOptions, memberLog } = this.#options;
+    this.#nextHeartbeatAt = now + raftOptions.heartbeatMilliseconds;
+    return this.#replicator.broadcast(memberLog.commitIndex, now);
   }
 
-  takeResponse(from: string, response: AppendResponse, now: number): void {
-    this.#replicator.takeResponse(from, response, now);
+  handleAppendResponse(
+    from: string,
+    response: AppendResponse,
+    now: number,
+  ): void {
+    this.#replicator.handleAppendResponse(from, response, now);
     this.advanceCommit();
-    const { commitIndex } = this.#options.member;
-    this.#replicator.sendMore(from, commitIndex, now);
-    this.#continueTransfer();
+    const { commitIndex } = this.#options.memberLog;
+    this.#replicator.sendIfLagging(from, commitIndex, now);
+    this.#requestTransferIfCaughtUp();
   }
 
   /**
-   * Commits what a majority holds. An entry of an older term can be replaced
-   * although a majority holds it, so only an entry of this term commits what
-   * precedes it.
+   * Commits the entries that a majority holds. An entry of an older term can
+   * still be replaced when a majority holds it, so it is committed only
+   * together with a later entry of this term.
    */
   advanceCommit(): void {
-    const { member, term } = this.#options;
-    const index = this.#replicator.majorityIndex(member.syncedIndex);
-    if (member.log.termAt(index) === term) member.commitTo(index);
+    const { memberLog, term } = this.#options;
+    const index = this.#replicator.majorityIndex(memberLog.syncedIndex);
+    if (memberLog.log.termAt(index) === term) memberLog.commitTo(index);
   }
 
-  /** Hands the lead to the most complete other voter; false without one. */
-  transfer(now: number): boolean {
-    const { raft, member } = this.#options;
-    const others = member.membership.voters
-      .filter(({ id }) => id !== raft.id)
+  /**
+   * Starts to transfer leadership to the other voter that holds the most
+   * entries. Returns false when there is no other voter.
+   */
+  startTransfer(now: number): boolean {
+    const { raftOptions, memberLog } = this.#options;
+    const others = memberLog.membership.voters
+      .filter(({ id }) => id !== raftOptions.id)
       .sort((left, right) =>
         this.matchIndexOf(right.id) - this.matchIndexOf(left.id)
       );
     const target = others[0];
     if (target === undefined) return false;
-    this.#transferTo = target.id;
-    this.#transferUntil = now + raft.electionMilliseconds;
-    this.#continueTransfer();
+    this.#transferTargetId = target.id;
+    this.#transferDeadline = now + raftOptions.electionMilliseconds;
+    this.#requestTransferIfCaughtUp();
     return true;
   }
 
-  #continueTransfer(): void {
-    const target = this.#transferTo;
-    const { member, outbox, message } = this.#options;
-    if (target === "" || this.matchIndexOf(target) < member.log.lastIndex) {
+  #requestTransferIfCaughtUp(): void {
+    const target = this.#transferTargetId;
+    const { memberLog, outbox, createMessage } = this.#options;
+    if (target === "" || this.matchIndexOf(target) < memberLog.log.lastIndex) {
       return;
     }
     const value = create(TransferRequestSchema);
-    outbox.sendAfterSync(message(target, { case: "transferRequest", value }));
+    outbox.sendAfterSync(
+      createMessage(target, { case: "transferRequest", value }),
+    );
   }
 }
--- a/packages/core/src/consensus/member_log.ts
+++ b/packages/core/src/consensus/member_log.ts
@@ -11,20 +11,26 @@
 import { RaftLog } from "./raft_log.ts";
 import type { RaftOutbox } from "./raft_outbox.ts";
 
-type Acceptance = {
+type AppendResult = {
   accepted: boolean;
-  /** Accepted: last index equal to the leader's. Refused: where to try. */
+  /**
+   * If accepted, the last index known to match the leader's log. Otherwise, the
+   * index after which the leader is to try next.
+   */
   matchIndex: number;
 };
 
-/** A member's log with the memberships that stand in it. */
+/**
+ * One member's log: entries, snapshot, memberships, and how far the log is
+ * synced, committed and delivered to the state machine.
+ */
 export class MemberLog {
   readonly log: RaftLog;
   readonly membership: MembershipHistory;
   #outbox: RaftOutbox;
   #snapshot: SnapshotData;
   #commitIndex: number;
-  #handedOut: number;
+  #deliveredIndex: number;
   #syncedIndex: number;
 
   constructor(
@@ -40,17 +46,17 @@
     );
     this.#outbox = outbox;
     this.#snapshot = snapshot;
-    for (const entry of entries) this.#takeIn(entry);
+    for (const entry of entries) this.#append(entry);
     this.#syncedIndex = this.log.lastIndex;
     this.#commitIndex = lastIndex;
-    this.#handedOut = lastIndex;
+    this.#deliveredIndex = lastIndex;
   }
 
   get commitIndex(): number {
     return this.#commitIndex;
   }
 
-  /** Last index that is on this member's disk. */
+  /** Last index that is synced to this member's disk. */
   get syncedIndex(): number {
     return this.#syncedIndex;
   }
@@ -68,60 +74,69 @@
     this.#commitIndex = Math.max(this.#commitIndex, index);
   }
 
-  get hasCommitted(): boolean {
-    return this.#handedOut < this.#commitIndex;
+  get hasUndeliveredEntries(): boolean {
+    return this.#deliveredIndex < this.#commitIndex;
   }
 
-  /** Newly committed entries, each handed out once and in order. */
+  /** Newly committed entries in log order; each is returned once. */
   takeCommitted(): LogEntry[] {
     const entries: LogEntry[] = [];
-    while (this.#handedOut < this.#commitIndex) {
-      const entry = this.log.entryAt(this.#handedOut + 1);
+    while (this.#deliveredIndex < this.#commitIndex) {
+      const entry = this.log.entryAt(this.#deliveredIndex + 1);
       if (entry === undefined) break;
       entries.push(entry);
-      this.#handedOut += 1;
+      this.#deliveredIndex += 1;
     }
     return entries;
   }
 
-  /** Appends a leader's own entry; gives back its index. */
-  appendOwn(term: number, kind: EntryKind, data: Uint8Array): number {
+  /** Appends an entry that this member creates as leader; returns its index. */
+  appendNewEntry(term: number, kind: EntryKind, data: Uint8Array): number {
     const index = this.log.lastIndex + 1;
     const entry = create(LogEntrySchema, { index, term, kind, data });
-    this.#takeIn(entry);
+    this.#append(entry);
     this.#outbox.storeEntry(entry);
     return index;
   }
 
-  /** Takes a leader's entries in where they join on. */
-  accept(request: AppendRequest): Acceptance {
+  /**
+   * Appends a leader's entries if this log matches the leader's at
+   * `previousIndex`. Entries that conflict with the leader's are replaced.
+   */
+  acceptAppend(request: AppendRequest): AppendResult {
     const { previousIndex, previousTerm } = request;
     if (previousIndex > this.log.lastIndex) {
       return { accepted: false, matchIndex: this.log.lastIndex };
     }
-    const behindSnapshot = previousIndex < this.log.firstIndex - 1;
-    if (!behindSnapshot && this.log.termAt(previousIndex) !== previousTerm) {
-      // What is committed is equal in every log; one step back a round trip
-      // would take as many of those as the tail that differs is long.
+    const startsBeforeSnapshot = previousIndex < this.log.firstIndex - 1;
+    if (
+      !startsBeforeSnapshot && this.log.termAt(previousIndex) !== previousTerm
+    ) {
+      // All logs agree up to the commit index, so the leader retries from
+      // there. Stepping back one entry at a time would take as many round
+      // trips as the conflicting tail has entries.
       return { accepted: false, matchIndex: this.#commitIndex };
     }
-    for (const entry of request.entries) this.#takeEntry(entry);
+    for (const entry of request.entries) this.#acceptEntry(entry);
     const matchIndex = Math.max(
       previousIndex + request.entries.length,
-      behindSnapshot ? this.#commitIndex : 0,
+      startsBeforeSnapshot ? this.#commitIndex : 0,
     );
     this.commitTo(Math.min(request.commitIndex, matchIndex));
     return { accepted: true, matchIndex };
   }
 
-  /** Starts over behind a leader's snapshot, when it is ahead. */
-  install(snapshot: SnapshotData): void {
+  /**
+   * Replaces the log by a leader's snapshot, unless this log already holds
+   * everything that the snapshot covers.
+   */
+  installSnapshot(snapshot: SnapshotData): void {
     if (snapshot.lastIndex <= this.#commitIndex) return;
     if (this.log.termAt(snapshot.lastIndex) === snapshot.lastTerm) {
-      // All of it is held already, and maybe more. A member that restarted
-      // knows of nothing committed behind its own snapshot; starting over here
-      // would drop entries that it has confirmed, and that a majority without
-      // them could then replace.
+      // The log holds everything in the snapshot, and maybe more. A restarted
+      // member does not know of any commit after its own snapshot. Resetting
+      // the log here would drop entries that the member has confirmed to a
+      // leader, and a majority without them could then replace them.
       return this.commitTo(snapshot.lastIndex);
     }
     this.#snapshot = snapshot;
@@ -129,36 +144,39 @@
     this.membership.truncateFrom(0);
     this.membership.record(snapshot.lastIndex, snapshot.membership!);
     this.#commitIndex = snapshot.lastIndex;
-    this.#handedOut = snapshot.lastIndex;
+    this.#deliveredIndex = snapshot.lastIndex;
     this.#syncedIndex = snapshot.lastIndex;
     this.#outbox.storeSnapshot(snapshot);
   }
 
-  /** Replaces the log up to the state machine's `state` at `index`. */
+  /**
+   * Replaces the entries up to `index` by a snapshot of the state machine's
+   * `state` at that index; returns the snapshot.
+   */
   compact(index: number, state: Uint8Array): SnapshotData {
     this.#snapshot = {
       ...this.#snapshot,
       lastIndex: index,
       lastTerm: this.log.termAt(index) ?? this.#snapshot.lastTerm,
-      membership: this.membership.at(index),
+      membership: this.membership.membershipAt(index),
       state,
     };
     this.log.compact(index);
     return this.#snapshot;
   }
 
-  #takeEntry(entry: LogEntry): void {
+  #acceptEntry(entry: LogEntry): void {
     if (entry.index < this.log.firstIndex) return;
-    const held = this.log.termAt(entry.index);
-    if (held === entry.term) return;
-    if (held !== undefined) this.#truncateFrom(entry.index);
-    this.#takeIn(entry);
+    const existingTerm = this.log.termAt(entry.index);
+    if (existingTerm === entry.term) return;
+    if (existingTerm !== undefined) this.#truncateFrom(entry.index);
+    this.#append(entry);
     this.#outbox.storeEntry(entry);
   }
 
   #truncateFrom(index: number): void {
     if (index <= this.#commitIndex) {
-      throw new Error(`a committed entry would be replaced at ${index}`);
+      throw new Error(`cannot replace the committed entry at index ${index}`);
     }
     this.log.truncateFrom(index);
     this.membership.truncateFrom(index);
@@ -166,7 +184,7 @@
     this.#outbox.truncateFrom(index);
   }
 
-  #takeIn(entry: LogEntry): void {
+  #append(entry: LogEntry): void {
     this.log.append(entry);
     if (entry.kind !== EntryKind.MEMBERSHIP) return;
     const membership = fromBinary(MembershipSchema, entry.data);
--- a/packages/core/src/consensus/membership_history.ts
+++ b/packages/core/src/consensus/membership_history.ts
@@ -1,13 +1,14 @@
 import type { Member, Membership } from "@teaselrouter/messages/control.ts";
 
-type Change = { index: number; membership: Membership };
+type MembershipChange = { index: number; membership: Membership };
 
 /**
- * Who votes and who only learns. A change counts from the moment it is in the
- * log, committed or not, and is undone when the log is truncated below it.
+ * The voters and learners, and the log index of each change to them. A change
+ * takes effect once it is in the log, committed or not, and is undone when log
+ * truncation removes it.
  */
 export class MembershipHistory {
-  #changes: Change[];
+  #changes: MembershipChange[];
 
   constructor(index: number, membership: Membership) {
     this.#changes = [{ index, membership }];
@@ -17,8 +18,8 @@
     return this.#latest.membership;
   }
 
-  /** Log index of the latest change. */
-  get changedAt(): number {
+  /** Log index of the latest membership change. */
+  get lastChangeIndex(): number {
     return this.#latest.index;
   }
 
@@ -43,13 +44,13 @@
     if (kept.length > 0) this.#changes = kept;
   }
 
-  /** The membership in force at `index`, for a snapshot there. */
-  at(index: number): Membership {
+  /** The membership in effect at `index`, for a snapshot that ends there. */
+  membershipAt(index: number): Membership {
     const before = this.#changes.filter((change) => change.index <= index);
     return (before.at(-1) ?? this.#changes[0]!).membership;
   }
 
-  get #latest(): Change {
+  get #latest(): MembershipChange {
     return this.#changes.at(-1)!;
   }
 }
--- a/packages/core/src/consensus/peer_progress.ts
+++ b/packages/core/src/consensus/peer_progress.ts
@@ -1,20 +1,24 @@
-/** What a leader knows of one member's log. */
+/** A leader's view of one other member's log. */
 export type PeerProgress = {
-  /** Last index known to be equal and synced there. */
+  /** Last index known to match the leader's log and to be synced. */
   matchIndex: number;
-  /** Latest round sent when `matchIndex` was confirmed. */
+  /** Latest round sent when `matchIndex` was last confirmed. */
   matchRound: number;
+  /** Index of the next entry to send. */
   nextIndex: number;
-  /** Round in which entries were sent again behind a refusal. */
-  resentRound: number;
-  /** It refused, and nothing was sent to it again since. */
-  isFallenBack: boolean;
-  /** Largest round answered. */
+  /** Round in which entries were resent after a rejection. */
+  resendRound: number;
+  /** The member rejected a request, and no entries were sent to it since. */
+  isResendPending: boolean;
+  /** Largest round that the member answered. */
   answeredRound: number;
-  /** When it last answered, milliseconds; -Infinity for never. */
+  /** When the member last answered, milliseconds; -Infinity for never. */
   heardAt: number;
-  /** Until when a snapshot under way is left alone, milliseconds. */
-  snapshotUntil: number;
-  /** Its log went back behind what it had confirmed: no longer trusted. */
-  regressed: boolean;
+  /** Earliest time to send the snapshot again, milliseconds. */
+  snapshotRetryAt: number;
+  /**
+   * The member's log became shorter than what it had confirmed, so the member
+   * is no longer trusted.
+   */
+  hasRegressed: boolean;
 };
--- a/packages/core/src/consensus/raft_log.ts
+++ b/packages/core/src/consensus/raft_log.ts
@@ -1,6 +1,6 @@
 import type { LogEntry } from "@teaselrouter/messages/control.ts";
 
-/** The log in memory: the entries that follow the last snapshot. */
+/** The in-memory log: the entries after the last snapshot. */
 export class RaftLog {
   #entries: LogEntry[] = [];
   #snapshotIndex: number;
@@ -11,7 +11,7 @@
     this.#snapshotTerm = snapshotTerm;
   }
 
-  /** Index of the first entry still held. */
+  /** Index of the first entry after the snapshot. */
   get firstIndex(): number {
     return this.#snapshotIndex + 1;
   }
@@ -24,7 +24,10 @@
     return this.#entries.at(-1)?.term ?? this.#snapshotTerm;
   }
 
-  /** Term of the entry at `index`, or undefined when it is not held. */
+  /**
+   * Term of the entry at `index`, or of the snapshot when it ends there;
+   * undefined when the log does not hold `index`.
+   */
   termAt(index: number): number | undefined {
     if (index === this.#snapshotIndex) return this.#snapshotTerm;
     return this.entryAt(index)?.term;
@@ -34,6 +37,7 @@
     return this.#entries[index - this.firstIndex];
   }
 
+  /** Throws unless `entry` directly follows the last one. */
   append(entry: LogEntry): void {
     if (entry.index !== this.lastIndex + 1) {
       throw new Error(
@@ -53,7 +57,10 @@
     return this.#entries.slice(start, start + limit);
   }
 
-  /** Whether a log that ends so is at least as complete as this one. */
+  /**
+   * Whether a log whose last entry has `lastIndex` and `lastTerm` is at least
+   * as up-to-date as this one, by Raft's rule for granting votes.
+   */
   isUpToDate(lastIndex: number, lastTerm: number): boolean {
     if (lastTerm !== this.lastTerm) return lastTerm > this.lastTerm;
     return lastIndex >= this.lastIndex;
@@ -68,7 +75,7 @@
     this.#snapshotTerm = term;
   }
 
-  /** Starts over behind a snapshot from the leader. */
+  /** Drops all entries; the log continues after a leader's snapshot. */
   reset(snapshotIndex: number, snapshotTerm: number): void {
     this.#entries = [];
     this.#snapshotIndex = snapshotIndex;
--- a/packages/core/src/consensus/raft_node.ts
+++ b/packages/core/src/consensus/raft_node.ts
@@ -12,52 +12,56 @@
   type SnapshotData,
 } from "@teaselrouter/messages/control.ts";
 import { Result } from "true-myth";
-import { Ballot } from "./ballot.ts";
+import { ElectionState } from "./election_state.ts";
 import { Leadership } from "./leadership.ts";
 import { MemberLog } from "./member_log.ts";
 import type { RaftOptions } from "./raft_options.ts";
 import { RaftOutbox } from "./raft_outbox.ts";
 import type { RaftOutput } from "./raft_output.ts";
 
-type Refusal = "not-leading" | "change-under-way";
+type ProposalRefusal = "not-leading" | "change-under-way";
 
 /**
- * One member of the replicated log. Pure: messages and time go in, and
- * `takeOutput` says what to write, to sync and to send.
+ * One Raft member. Performs no I/O and reads no clock: the caller passes in
+ * messages and the time, and `takeOutput` returns what to write, sync and send.
  */
 export class RaftNode {
   readonly id: string;
   #options: RaftOptions;
   #leaderId = "";
   #outbox = new RaftOutbox();
-  #member: MemberLog;
-  #ballot: Ballot;
-  #heardLeaderAt = -Infinity;
-  /** Present while this member leads. */
+  #memberLog: MemberLog;
+  #electionState: ElectionState;
+  #lastLeaderContactAt = -Infinity;
+  /** Defined while this member leads. */
   #leadership: Leadership | undefined;
 
   constructor(options: RaftOptions) {
     const { snapshot, entries } = options;
     this.id = options.id;
     this.#options = options;
-    this.#member = new MemberLog(snapshot, entries, this.#outbox);
-    this.#ballot = new Ballot(options, this.#member, this.#outbox);
+    this.#memberLog = new MemberLog(snapshot, entries, this.#outbox);
+    this.#electionState = new ElectionState(
+      options,
+      this.#memberLog,
+      this.#outbox,
+    );
   }
 
   get term(): number {
-    return this.#ballot.term;
+    return this.#electionState.term;
   }
 
   get commitIndex(): number {
-    return this.#member.commitIndex;
+    return this.#memberLog.commitIndex;
   }
 
   get lastIndex(): number {
-    return this.#member.log.lastIndex;
+    return this.#memberLog.log.lastIndex;
   }
 
   get firstIndex(): number {
-    return this.#member.log.firstIndex;
+    return this.#memberLog.log.firstIndex;
   }
 
   get leaderId(): string {
@@ -65,11 +69,12 @@
   }
 
   get membership(): Membership {
-    return this.#member.membership.current;
+    return this.#memberLog.membership.current;
   }
 
   get membershipIsCommitted(): boolean {
-    return this.#member.membership.changedAt <= this.#member.commitIndex;
+    return this.#memberLog.membership.lastChangeIndex <=
+      this.#memberLog.commitIndex;
   }
 
   get regressedMembers(): string[] {
@@ -77,49 +82,57 @@
   }
 
   /**
-   * Whether this member leads and a majority has answered lately. A leader
-   * that was frozen for longer than the election time fails this before it
-   * has run a single timer, so it answers nothing stale.
+   * Whether this member leads and a majority has answered within the election
+   * timeout. A leader that was suspended for longer than that fails this check
+   * as soon as it resumes, before any timer runs, so it never answers from
+   * stale state.
    */
   isLeading(now: number): boolean {
-    return this.#leadership?.isHeld(now) ?? false;
+    return this.#leadership?.hasQuorumContact(now) ?? false;
   }
 
-  /** Whether this leader's own term is committed, so its state is current. */
+  /**
+   * Whether an entry of the current term is committed. On a leader, the commit
+   * index then covers everything committed in earlier terms.
+   */
   get hasCommittedOwnTerm(): boolean {
-    return this.#member.log.termAt(this.#member.commitIndex) === this.term;
+    return this.#memberLog.log.termAt(this.#memberLog.commitIndex) ===
+      this.term;
   }
 
   get hardState(): HardState {
-    return this.#ballot.hardState;
+    return this.#electionState.hardState;
   }
 
   entriesAfter(index: number): LogEntry[] {
-    return this.#member.log.slice(
+    return this.#memberLog.log.slice(
       index + 1,
-      this.#member.log.lastIndex - index,
+      this.#memberLog.log.lastIndex - index,
     );
   }
 
   tick(now: number): void {
     if (this.#leadership !== undefined) this.#tickLeader(now);
-    else if (this.#ballot.isDue(now)) this.#campaign(now);
+    else if (this.#electionState.isElectionDue(now)) this.#campaign(now);
   }
 
-  propose(data: Uint8Array, now: number): Result<number, Refusal> {
+  propose(data: Uint8Array, now: number): Result<number, ProposalRefusal> {
     const leadership = this.#leadership;
-    return leadership?.takesProposals(now)
+    return leadership?.acceptsProposals(now)
       ? Result.ok(leadership.append(EntryKind.COMMAND, data))
       : Result.err("not-leading");
   }
 
-  /** One change at a time, and only after this leader's term is committed. */
+  /**
+   * Proposes a membership change. Fails while an earlier change is uncommitted
+   * or no entry of this leader's term is committed.
+   */
   proposeMembership(
     membership: Membership,
     now: number,
-  ): Result<number, Refusal> {
+  ): Result<number, ProposalRefusal> {
     const leadership = this.#leadership;
-    if (!leadership?.takesProposals(now)) return Result.err("not-leading");
+    if (!leadership?.acceptsProposals(now)) return Result.err("not-leading");
     if (!this.membershipIsCommitted || !this.hasCommittedOwnTerm) {
       return Result.err("change-under-way");
     }
@@ -127,16 +140,19 @@
     return Result.ok(leadership.append(EntryKind.MEMBERSHIP, data));
   }
 
-  /** Sends what was proposed since the last call, as one batch. */
+  /** Sends the entries proposed since the last call, as one batch. */
   flush(now: number): void {
-    this.#leadership?.flush(now);
+    this.#leadership?.replicate(now);
   }
 
-  /** Starts a round; a read is current once `confirmedRound` reaches it. */
-  startReadRound(now: number): Result<number, Refusal> {
+  /**
+   * Starts a heartbeat round and returns its number. A read is current once
+   * `confirmedRound` reaches that number.
+   */
+  startReadRound(now: number): Result<number, ProposalRefusal> {
     const leadership = this.#leadership;
-    return leadership?.isHeld(now) && this.hasCommittedOwnTerm
-      ? Result.ok(leadership.flush(now))
+    return leadership?.hasQuorumContact(now) && this.hasCommittedOwnTerm
+      ? Result.ok(leadership.replicate(now))
       : Result.err("not-leading");
   }
 
@@ -144,7 +160,10 @@
     return this.#leadership?.confirmedRound ?? 0;
   }
 
-  /** When a member last answered this leader; -Infinity when not leading. */
+  /**
+   * When a member last answered this leader, milliseconds; -Infinity when this
+   * member does not lead.
+   */
   heardAt(id: string): number {
     return this.#leadership?.heardAt(id) ?? -Infinity;
   }
@@ -153,44 +172,51 @@
     return this.#leadership?.matchIndexOf(id) ?? 0;
   }
 
-  /** Hands leadership to the most complete other voter, for a planned stop. */
+  /**
+   * Starts to transfer leadership, for a planned stop, to the other voter that
+   * holds the most entries. Returns false when this member does not lead or
+   * there is no other voter.
+   */
   transferLeadership(now: number): boolean {
-    return this.#leadership?.transfer(now) ?? false;
+    return this.#leadership?.startTransfer(now) ?? false;
   }
 
   receive(message: PeerMessage, now: number): void {
     if (message.to !== this.id) return;
-    if (this.#isDisturbance(message, now)) return;
-    if (message.term > this.term && !this.#keepsTerm(message)) {
+    if (this.#isDisruptiveVoteRequest(message, now)) return;
+    if (message.term > this.term && !this.#hasProspectiveTerm(message)) {
       this.#becomeFollower(message.term, now);
     }
     this.#dispatch(message, now);
   }
 
-  /** Reports that everything up to `index` of `term` is on disk. */
+  /** Records that the log up to the entry of `term` at `index` is on disk. */
   markSynced(index: number, term: number): void {
-    this.#member.markSynced(index, term);
+    this.#memberLog.markSynced(index, term);
     this.#leadership?.advanceCommit();
   }
 
-  /** Replaces the log up to the state machine's `state` at `index`. */
+  /**
+   * Replaces the entries up to `index` by a snapshot of the state machine's
+   * `state` at that index; returns the snapshot for the caller to store.
+   */
   compact(index: number, state: Uint8Array): SnapshotData {
-    return this.#member.compact(index, state);
+    return this.#memberLog.compact(index, state);
   }
 
-  /** Messages that need not wait for the sync that may be under way. */
+  /** Takes the messages that need not wait for a sync in progress. */
   takeImmediate(): PeerMessage[] {
     return this.#outbox.takeImmediate();
   }
 
-  /** Whether there is anything to write, to send or to hand out. */
+  /** Whether there is anything to write, send or apply. */
   get hasOutput(): boolean {
-    return !this.#outbox.isEmpty || this.#member.hasCommitted;
+    return !this.#outbox.isEmpty || this.#memberLog.hasUndeliveredEntries;
   }
 
   takeOutput(): RaftOutput {
-    const output = this.#outbox.take();
-    output.committed = this.#member.takeCommitted();
+    const output = this.#outbox.takeOutput();
+    output.committed = this.#memberLog.takeCommitted();
     return output;
   }
 
@@ -198,42 +224,48 @@
     const { body, from } = message;
     switch (body.case) {
       case "voteRequest":
-        return this.#ballot.answer(message, body.value, now);
+        return this.#electionState.handleVoteRequest(message, body.value, now);
       case "voteResponse":
-        if (this.#ballot.takeResponse(message, body.value, now)) {
+        if (this.#electionState.handleVoteResponse(message, body.value, now)) {
           this.#becomeLeader(now);
         }
         return;
       case "appendRequest":
-        if (message.term < this.term) return this.#refuseAppend(from);
-        return this.#takeAppend(from, body.value, now);
+        if (message.term < this.term) return this.#rejectAppend(from);
+        return this.#handleAppend(from, body.value, now);
       case "snapshotRequest":
-        if (message.term < this.term) return this.#refuseAppend(from);
-        return this.#takeSnapshot(from, body.value.snapshot!, now);
+        if (message.term < this.term) return this.#rejectAppend(from);
+        return this.#handleSnapshot(from, body.value.snapshot!, now);
       case "appendResponse":
         if (message.term === this.term) {
-          this.#leadership?.takeResponse(from, body.value, now);
+          this.#leadership?.handleAppendResponse(from, body.value, now);
         }
         return;
       case "transferRequest":
-        if (message.term === this.term) this.#takeTransfer(now);
+        if (message.term === this.term) this.#handleTransfer(now);
         return;
     }
   }
 
   /**
-   * A member that was cut off comes back with a high term, or one that is no
-   * longer a member goes on asking; either would push out a healthy leader.
-   * While a leader is heard, vote requests are not even looked at.
+   * Whether a vote request is ignored because this member leads with a quorum,
+   * or heard from a leader within the election timeout. Otherwise a member that
+   * returns from a partition with a high term, or a removed member that keeps
+   * asking for votes, would depose a healthy leader. An election that the
+   * leader itself asked for is never ignored.
    */
-  #isDisturbance(message: PeerMessage, now: number): boolean {
+  #isDisruptiveVoteRequest(message: PeerMessage, now: number): boolean {
     if (message.body.case !== "voteRequest") return false;
     if (message.body.value.transfer) return false;
     if (this.#leadership !== undefined) return this.isLeading(now);
-    return now - this.#heardLeaderAt < this.#options.electionMilliseconds;
+    return now - this.#lastLeaderContactAt < this.#options.electionMilliseconds;
   }
 
-  #keepsTerm(message: PeerMessage): boolean {
+  /**
+   * Whether the message carries the term of an election that has not started.
+   * Pre-vote requests and granted pre-votes do, so their term is not adopted.
+   */
+  #hasProspectiveTerm(message: PeerMessage): boolean {
     const { body } = message;
     if (body.case === "voteRequest") return body.value.preVote;
     if (body.case === "voteResponse") {
@@ -249,23 +281,23 @@
 
   #campaign(now: number): void {
     this.#leaderId = "";
-    if (this.#ballot.askFirst(now)) this.#becomeLeader(now);
+    if (this.#electionState.startPreVote(now)) this.#becomeLeader(now);
   }
 
-  /** The leader stops as planned and hands its lead to this member. */
-  #takeTransfer(now: number): void {
+  /** Starts an election, as the leader transfers leadership to this member. */
+  #handleTransfer(now: number): void {
     this.#leaderId = "";
-    if (this.#ballot.standForTransfer(now)) this.#becomeLeader(now);
+    if (this.#electionState.startTransferElection(now)) this.#becomeLeader(now);
   }
 
   #becomeLeader(now: number): void {
     this.#leaderId = this.id;
     this.#leadership = new Leadership({
-      raft: this.#options,
+      raftOptions: this.#options,
       term: this.term,
-      member: this.#member,
+      memberLog: this.#memberLog,
       outbox: this.#outbox,
-      message: (to, body) => this.#message(to, body),
+      createMessage: (to, body) => this.#createMessage(to, body),
       now,
     });
   }
@@ -273,46 +305,46 @@
   #becomeFollower(term: number, now: number): void {
     this.#leaderId = "";
     this.#leadership = undefined;
-    this.#ballot.follow(term, now);
+    this.#electionState.becomeFollower(term, now);
   }
 
   #followLeader(from: string, now: number): void {
     this.#becomeFollower(this.term, now);
     this.#leaderId = from;
-    this.#heardLeaderAt = now;
+    this.#lastLeaderContactAt = now;
   }
 
-  #takeAppend(from: string, request: AppendRequest, now: number): void {
+  #handleAppend(from: string, request: AppendRequest, now: number): void {
     this.#followLeader(from, now);
-    this.#answerAppend(from, {
-      ...this.#member.accept(request),
+    this.#sendAppendResponse(from, {
+      ...this.#memberLog.acceptAppend(request),
       round: request.round,
     });
   }
 
-  #takeSnapshot(from: string, snapshot: SnapshotData, now: number): void {
+  #handleSnapshot(from: string, snapshot: SnapshotData, now: number): void {
     this.#followLeader(from, now);
-    this.#member.install(snapshot);
+    this.#memberLog.installSnapshot(snapshot);
     const matchIndex = snapshot.lastIndex;
-    this.#answerAppend(from, { accepted: true, matchIndex, round: 0 });
+    this.#sendAppendResponse(from, { accepted: true, matchIndex, round: 0 });
   }
 
-  #refuseAppend(to: string): void {
+  #rejectAppend(to: string): void {
     const matchIndex = this.lastIndex;
-    this.#answerAppend(to, { accepted: false, matchIndex, round: 0 });
+    this.#sendAppendResponse(to, { accepted: false, matchIndex, round: 0 });
   }
 
-  #answerAppend(
+  #sendAppendResponse(
     to: string,
     answer: { accepted: boolean; matchIndex: number; round: number },
   ): void {
     const { lastIndex } = this;
     const value = create(AppendResponseSchema, { ...answer, lastIndex });
     const body = { case: "appendResponse" as const, value };
-    this.#outbox.sendAfterSync(this.#message(to, body));
+    this.#outbox.sendAfterSync(this.#createMessage(to, body));
   }
 
-  #message(to: string, body: PeerMessage["body"]): PeerMessage {
+  #createMessage(to: string, body: PeerMessage["body"]): PeerMessage {
     const { id: from, term } = this;
     return create(PeerMessageSchema, { from, to, term, body });
   }
--- a/packages/core/src/consensus/raft_node_test.ts
+++ b/packages/core/src/consensus/raft_node_test.ts
@@ -51,22 +51,26 @@
   return create(PeerMessageSchema, { from, to: "a", term, body });
 }
 
-function grant(from: string, term: number, preVote: boolean): PeerMessage {
+function voteGranted(
+  from: string,
+  term: number,
+  preVote: boolean,
+): PeerMessage {
   const value = create(VoteResponseSchema, { preVote, granted: true });
   return message(from, term, { case: "voteResponse", value });
 }
 
-/** Makes `node` lead in the term after `term`; gives back the time. */
-function elect(node: RaftNode, term: number): number {
+/** Makes `node` lead in the term after `term`; returns the time. */
+function electLeader(node: RaftNode, term: number): number {
   const now = 2 * ELECTION_MILLISECONDS;
   node.tick(now);
-  node.receive(grant("b", term + 1, true), now);
-  node.receive(grant("b", term + 1, false), now);
+  node.receive(voteGranted("b", term + 1, true), now);
+  node.receive(voteGranted("b", term + 1, false), now);
   assert.ok(node.isLeading(now));
   return now;
 }
 
-function confirm(
+function confirmAppend(
   node: RaftNode,
   options: { from: string; matchIndex: number; round: number; now: number },
 ): void {
@@ -87,41 +91,41 @@
 }
 
 test("a leader does not count itself before its own sync", () => {
-  // Story: one other voter has confirmed; the leader's own write is still
-  // under way. Counted as two of three, a kill of the leader would leave an
-  // accepted change on one disk only.
+  // One other voter has confirmed the entry, and the leader's own write is not
+  // synced yet. If the leader counted itself, it would commit with two of three
+  // votes, and killing it would leave an accepted change on one disk only.
   const node = newNode([], 1);
-  const now = elect(node, 1);
+  const now = electLeader(node, 1);
   const index = node.propose(new Uint8Array([1]), now);
   assert.ok(index.isOk);
-  confirm(node, { from: "b", matchIndex: index.value, round: 1, now });
+  confirmAppend(node, { from: "b", matchIndex: index.value, round: 1, now });
   assert.equal(node.commitIndex, 0);
   node.markSynced(index.value, node.term);
   assert.equal(node.commitIndex, index.value);
 });
 
 test("an older term's entry is not committed by count alone", () => {
-  // Story: a leader of term 3 finds an entry of term 1 on a majority. A
-  // member with a later entry could still replace it, so it counts only once
-  // an entry of term 3 stands on a majority too.
+  // A leader of term 3 finds that a majority holds an entry of term 1. A member
+  // with an entry of a later term could still replace it, so it is committed
+  // only once a majority holds an entry of term 3 too.
   const node = newNode([entry(1, 1)], 2);
-  const now = elect(node, 2);
-  confirm(node, { from: "b", matchIndex: 1, round: 1, now });
+  const now = electLeader(node, 2);
+  confirmAppend(node, { from: "b", matchIndex: 1, round: 1, now });
   assert.equal(node.commitIndex, 0);
   node.markSynced(2, node.term);
-  confirm(node, { from: "b", matchIndex: 2, round: 1, now });
+  confirmAppend(node, { from: "b", matchIndex: 2, round: 1, now });
   assert.equal(node.commitIndex, 2);
 });
 
-test("a log that went back behind its confirmation is not counted again", () => {
-  // Story: a member comes back on an older copy of its folder. What it had
-  // confirmed is gone there; trusted again it could help elect a leader that
-  // lacks an accepted change.
+test("a member whose log became shorter than it confirmed is not counted", () => {
+  // A member restarts on an older copy of its data folder, which lacks entries
+  // that the member had confirmed. If it were trusted again, it could help
+  // elect a leader that lacks an accepted change.
   const node = newNode([], 1);
-  const now = elect(node, 1);
+  const now = electLeader(node, 1);
   const index = node.propose(new Uint8Array([1]), now);
   assert.ok(index.isOk);
-  confirm(node, { from: "b", matchIndex: index.value, round: 1, now });
+  confirmAppend(node, { from: "b", matchIndex: index.value, round: 1, now });
   node.flush(now + 1);
   node.receive(
     message("b", node.term, {
@@ -141,16 +145,16 @@
   assert.equal(node.commitIndex, 0);
 });
 
-test("a leader that slept past the election time leads no more", () => {
+test("a leader that was suspended past the election timeout no longer leads", () => {
   const node = newNode([], 1);
-  const now = elect(node, 1);
+  const now = electLeader(node, 1);
   const later = now + 10 * ELECTION_MILLISECONDS;
   assert.ok(!node.isLeading(later));
   assert.ok(node.propose(new Uint8Array([1]), later).isErr);
   assert.ok(node.startReadRound(later).isErr);
 });
 
-test("a member that was cut off does not push out a healthy leader", () => {
+test("a member that was cut off does not depose a healthy leader", () => {
   const node = newNode([], 5);
   const heartbeat = create(AppendRequestSchema, { round: 1 });
   node.receive(
@@ -175,11 +179,12 @@
   assert.deepEqual(node.takeOutput().afterSync, []);
 });
 
-test("a host that joins late is sent the log once, in pieces it can take", () => {
-  // Story: a control host with an empty disk joins behind sixty large
-  // configurations, over a link that takes 50 ms. Every heartbeat that it
-  // refuses meanwhile must not bring the whole log again: that filled its
-  // link, so that it never caught up, and the next lost disk lost a change.
+test("a member that joins late is sent the log once, in requests of limited size", () => {
+  // A control host with an empty disk joins after sixty large configurations
+  // were accepted, over a link with 50 ms latency. It rejects the heartbeats
+  // that arrive meanwhile. If each rejection caused the whole log to be sent
+  // again, the link would be saturated, the host would never catch up, and the
+  // next lost disk would lose a change.
   const size = 10_000;
   const count = 60;
   const entries = Array.from({ length: count }, (_, at) => ({
@@ -187,7 +192,7 @@
     data: new Uint8Array(size),
   }));
   const leader = newNode(entries, 1);
-  const start = elect(leader, 1);
+  const start = electLeader(leader, 1);
   const members = ["a", "b", "c"].map((id) => ({ id, name: id }));
   const joining = new RaftNode({
     id: "c",
@@ -201,12 +206,12 @@
     entries: [],
     now: start,
   });
-  const flying: { message: PeerMessage; at: number }[] = [];
+  const inFlight: { message: PeerMessage; at: number }[] = [];
   let sentBytes = 0;
   let largest = 0;
   for (let now = start; now < start + 2_000; now += 5) {
     leader.tick(now);
-    confirm(leader, {
+    confirmAppend(leader, {
       from: "b",
       matchIndex: leader.lastIndex,
       round: 1e6,
@@ -221,11 +226,11 @@
           sentBytes += bytes;
           largest = Math.max(largest, bytes);
         }
-        flying.push({ message: sent, at: now + 50 });
+        inFlight.push({ message: sent, at: now + 50 });
       }
     }
-    while (flying.length > 0 && flying[0]!.at <= now) {
-      const { message: arrived } = flying.shift()!;
+    while (inFlight.length > 0 && inFlight[0]!.at <= now) {
+      const { message: arrived } = inFlight.shift()!;
       (arrived.to === "c" ? joining : leader).receive(arrived, now);
     }
   }
@@ -234,16 +239,16 @@
   assert.ok(largest <= 150_000, `${largest} bytes at once`);
 });
 
-test("a refusal behind its confirmation is no sign of an older log", () => {
-  // Story: a member holds ten confirmed entries and an uncommitted tail of an
-  // earlier leader. It refuses what follows with the index that is surely
-  // equal, its commit index. Taken for a log that went back, the member would
-  // be left alone for good.
+test("a rejection below the confirmed index does not mark a log as regressed", () => {
+  // A member holds ten confirmed entries, followed by an earlier leader's
+  // uncommitted entries. It rejects the next request and returns its commit
+  // index, the last index that surely matches. If the leader took this for a
+  // log that became shorter, it would never send to the member again.
   const node = newNode([], 1);
-  const now = elect(node, 1);
+  const now = electLeader(node, 1);
   const index = node.propose(new Uint8Array([1]), now);
   assert.ok(index.isOk);
-  confirm(node, { from: "b", matchIndex: index.value, round: 1, now });
+  confirmAppend(node, { from: "b", matchIndex: index.value, round: 1, now });
   node.flush(now + 1);
   node.receive(
     message("b", node.term, {
@@ -261,13 +266,13 @@
   assert.deepEqual(node.regressedMembers, []);
 });
 
-// All members lose power. The first one back asks for votes while the others
-// do not listen yet, and its question is lost. Callers are refused for as long
-// as it waits to ask again, though a majority has been up for most of it.
-test("a vote that was asked for too early is soon asked for again", () => {
+// All members lose power. The first one to restart sends its pre-vote before
+// the others listen, so the requests are lost. Callers are refused until it
+// sends the next ones, although a majority has been up for most of that time.
+test("a pre-vote whose requests may be lost is soon repeated", () => {
   const node = newNode([entry(1, 1)], 1);
   node.takeOutput();
-  const asks = () => {
+  const takeVoteRequestCount = () => {
     const { immediate, afterSync } = node.takeOutput();
     return [...immediate, ...afterSync].filter(({ body }) =>
       body.case === "voteRequest"
@@ -275,18 +280,18 @@
   };
   const first = 0.4 * ELECTION_MILLISECONDS;
   node.tick(first);
-  assert.equal(asks(), 2, "both others are asked");
+  assert.equal(takeVoteRequestCount(), 2, "both others are asked");
   node.tick(first + 0.2 * ELECTION_MILLISECONDS);
-  assert.equal(asks(), 0, "they are given time to answer");
+  assert.equal(takeVoteRequestCount(), 0, "they are given time to answer");
   node.tick(first + 0.4 * ELECTION_MILLISECONDS);
-  assert.equal(asks(), 2);
+  assert.equal(takeVoteRequestCount(), 2);
   assert.equal(node.term, 1, "asking changes no term");
 });
 
-// Two members come back from a loss of power within a few milliseconds and ask
-// each other whether they would win. Both would; both stand, each votes for
-// itself, and callers are refused for one more election time.
-test("who has promised its vote does not stand beside the other", () => {
+// Two members restart after a power loss within a few milliseconds and send
+// each other pre-votes. If both grant them and both start an election, each
+// votes for itself, and callers are refused for one more election timeout.
+test("a member that granted a pre-vote postpones its own", () => {
   const node = newNode([entry(1, 1)], 1);
   const value = create(VoteRequestSchema, {
     preVote: true,
@@ -306,10 +311,11 @@
   assert.ok(node.takeOutput().afterSync.length > 0, "b did not stand: it asks");
 });
 
-// Two members ask at the same moment: what each sends takes a tenth of a
-// second on hosts that have just started, so that neither hears the other
-// ahead of its own asking. Both would win, both stand, and nobody does.
-test("of two that ask at the same time the greater id goes first", () => {
+// Two members start a pre-vote at the same moment. On hosts that have just
+// started, a message takes a tenth of a second, so neither member hears from
+// the other before it asks itself. If both pre-votes were granted, both members
+// would start an election, and neither would win it.
+test("of two overlapping pre-votes, the greater id's goes first", () => {
   const node = newNode([entry(1, 1)], 1);
   const value = create(VoteRequestSchema, {
     preVote: true,
@@ -332,11 +338,12 @@
   assert.equal(granted("b"), true);
 });
 
-// An operator's change is acknowledged by members a and b. Both restart; c,
-// which leads then and lacks nothing up to its snapshot, takes a for far behind
-// and sends that snapshot. Starting over from it, a drops the change, votes for
-// a member that never had it, and the change is gone everywhere.
-test("an older snapshot takes no confirmed entries away", () => {
+// Members a and b acknowledge an operator's change and restart. Member c, which
+// then leads and lacks nothing up to its snapshot, takes a to be far behind and
+// sends a that snapshot. If a reset its log to the snapshot, a would drop the
+// change and vote for a member that never had it, and every member would lose
+// the change.
+test("an older snapshot removes no confirmed entries", () => {
   const node = newNode([1, 2, 3, 4].map((index) => entry(index, 1)), 2);
   const snapshot = create(SnapshotDataSchema, {
     lastIndex: 2,
--- a/packages/core/src/consensus/raft_options.ts
+++ b/packages/core/src/consensus/raft_options.ts
@@ -4,12 +4,15 @@
   SnapshotData,
 } from "@teaselrouter/messages/control.ts";
 
-/** How a consensus member starts; times in milliseconds. */
+/**
+ * Settings and restored state with which a Raft member starts. Times are in
+ * milliseconds.
+ */
 export type RaftOptions = {
   id: string;
   electionMilliseconds: number;
   heartbeatMilliseconds: number;
-  /** Uniform in [0, 1); the only source of chance. */
+  /** Uniform in [0, 1); the member's only source of randomness. */
   random: () => number;
   hardState: HardState;
   snapshot: SnapshotData;
--- a/packages/core/src/consensus/raft_outbox.ts
+++ b/packages/core/src/consensus/raft_outbox.ts
@@ -19,11 +19,14 @@
   };
 }
 
-/** Gathers what a member's edge has to do until it is taken. */
+/** Collects a member's pending writes and messages until they are taken. */
 export class RaftOutbox {
   #output = emptyOutput();
 
-  /** A message that promises nothing of this member's disk. */
+  /**
+   * Queues a message that asserts nothing about this member's durable state,
+   * so it need not wait for a sync.
+   */
   sendNow(message: PeerMessage): void {
     this.#output.immediate.push(message);
   }
@@ -32,7 +35,7 @@
     this.#output.afterSync.push(message);
   }
 
-  storeVote(term: number, votedFor: string): void {
+  storeHardState(term: number, votedFor: string): void {
     this.#output.hardState = create(HardStateSchema, { term, votedFor });
   }
 
@@ -40,14 +43,17 @@
     this.#output.entries.push(entry);
   }
 
-  /** The log is cut: what was to be stored from there on is not any more. */
+  /**
+   * Truncates the stored log from `index` on, and drops pending entries from
+   * there on.
+   */
   truncateFrom(index: number): void {
     const output = this.#output;
     output.truncateFrom = Math.min(output.truncateFrom ?? index, index);
     output.entries = output.entries.filter((entry) => entry.index < index);
   }
 
-  /** A leader's snapshot replaces all that was to be stored. */
+  /** Stores a leader's snapshot, which replaces all pending log writes. */
   storeSnapshot(snapshot: SnapshotData): void {
     this.#output.entries = [];
     this.#output.truncateFrom = undefined;
@@ -65,7 +71,7 @@
     return this.#output.immediate.splice(0);
   }
 
-  take(): RaftOutput {
+  takeOutput(): RaftOutput {
     const output = this.#output;
     this.#output = emptyOutput();
     return output;
--- a/packages/core/src/consensus/raft_output.ts
+++ b/packages/core/src/consensus/raft_output.ts
@@ -5,19 +5,25 @@
   SnapshotData,
 } from "@teaselrouter/messages/control.ts";
 
-/** What the edge must do, in this order: write, sync, then send. */
+/**
+ * What the caller that performs a member's I/O must do, in this order: write,
+ * sync, then send.
+ */
 export type RaftOutput = {
-  /** Present when term or vote changed. */
+  /** Present when the term or the vote changed. */
   hardState: HardState | undefined;
-  /** First index replaced by `entries`, when the tail was cut. */
+  /** First stored index to delete, when the end of the log was truncated. */
   truncateFrom: number | undefined;
   entries: LogEntry[];
-  /** A snapshot received from the leader, to store and to install. */
+  /** A snapshot from the leader, to store and load into the state machine. */
   snapshot: SnapshotData | undefined;
-  /** May leave before the sync: they promise nothing of this member's. */
+  /**
+   * Messages that assert nothing about this member's durable state, so they
+   * may be sent before the sync.
+   */
   immediate: PeerMessage[];
-  /** Promise something: only after the sync. */
+  /** Messages that assert durable state: send them only after the sync. */
   afterSync: PeerMessage[];
-  /** Newly committed entries in order, for the state machine. */
+  /** Newly committed entries in log order, for the state machine. */
   committed: LogEntry[];
 };
--- a/packages/core/src/consensus/raft_schedules_test.ts
+++ b/packages/core/src/consensus/raft_schedules_test.ts
@@ -19,9 +19,9 @@
 import { RaftNode } from "./raft_node.ts";
 import type { RaftOutput } from "./raft_output.ts";
 
-const SCHEDULES = Number(process.env["SCHEDULES"] ?? 2_000);
+const SCHEDULE_COUNT = Number(process.env["SCHEDULES"] ?? 2_000);
 const FIRST_SEED = 1;
-const STEPS = 260;
+const FAULT_STEPS = 260;
 const HEALING_STEPS = 700;
 const STEP_MILLISECONDS = 10;
 const ELECTION_MILLISECONDS = 100;
@@ -37,7 +37,7 @@
   id: string;
   disk: Disk;
   node: RaftNode | undefined;
-  /** A batch whose sync is under way. */
+  /** The batch that is being written and synced. */
   writing: { output: RaftOutput; doneAt: number } | undefined;
   applied: Map<number, string>;
   appliedIndex: number;
@@ -45,12 +45,12 @@
 };
 
 /**
- * Hosts are replaced within some hundred milliseconds here, not seconds: the
- * times of the plan are passed through so much faster.
+ * Factor by which times are scaled up for `planMembership`, whose timeouts are
+ * seconds: schedules replace hosts within a few hundred milliseconds.
  */
-const PLAN_SPEED = 20;
+const PLAN_TIME_SCALE = 20;
 
-type Flying = { message: PeerMessage; at: number };
+type InFlightMessage = { message: PeerMessage; at: number };
 
 function newMember(id: string, membership: Membership): Member {
   return {
@@ -81,30 +81,33 @@
   disk.entries.push(...output.entries);
 }
 
-/** Members, their disks and the network of one seeded schedule. */
+/** One seeded run of faults: the members, their disks and their network. */
 class Schedule {
   readonly members = new Map<string, Member>();
-  /** The naive twin: one copy of the log, written as entries are chosen. */
+  /**
+   * Reference model: a single copy of the log, written as members apply
+   * committed entries, to which each member's log is compared.
+   */
   readonly chosen = new Map<number, string>();
   readonly acknowledged = new Map<number, string>();
-  #flying: Flying[] = [];
-  #cuts = new Set<string>();
+  #inFlight: InFlightMessage[] = [];
+  #cutLinks = new Set<string>();
   #leaders = new Map<number, string>();
   #proposed = new Map<number, { id: string; term: number; text: string }[]>();
-  #count = 0;
-  #repaired = 0;
+  #proposalCount = 0;
+  #repairCount = 0;
   #repair: { lost: string; joining: string } | undefined;
   #now = 0;
   #random: () => number;
-  #size: number;
-  /** Members are changed by the plan, without an operator. */
+  #wantedVoters: number;
+  /** Whether `planMembership` changes the members, without an operator. */
   #isAutomatic: boolean;
 
   constructor(seed: number, isAutomatic: boolean) {
     this.#random = seededRandom(seed);
     this.#isAutomatic = isAutomatic;
     const size = this.#random() < 0.7 ? 3 : 5;
-    this.#size = size;
+    this.#wantedVoters = size;
     const members = Array.from({ length: size }, (_, index) => ({
       id: `member-${index}`,
       name: `member-${index}`,
@@ -118,8 +121,8 @@
   }
 
   run(): void {
-    for (let step = 0; step < STEPS; step += 1) {
-      this.#disturb();
+    for (let step = 0; step < FAULT_STEPS; step += 1) {
+      this.#injectFault();
       this.#step();
     }
     this.#heal();
@@ -130,15 +133,15 @@
     assert.ok(this.#isCaughtUp(), "the group did not catch up after healing");
   }
 
-  #disturb(): void {
+  #injectFault(): void {
     const chance = this.#random();
-    const member = this.#anyMember();
+    const member = this.#randomMember();
     if (chance < 0.25) this.#propose();
     else if (chance < 0.29) {
       this.#crash(this.#random() < 0.4 ? this.#leader() ?? member : member);
     } else if (chance < 0.34 && member.node === undefined) this.#start(member);
-    else if (chance < 0.37) this.#cut();
-    else if (chance < 0.40) this.#cuts.clear();
+    else if (chance < 0.37) this.#cutLink();
+    else if (chance < 0.40) this.#cutLinks.clear();
     else if (chance < 0.41) member.frozenUntil = this.#now + 250;
     else if (chance < 0.43) this.#compact(member);
     else if (chance < 0.44) member.node?.transferLeadership(this.#now);
@@ -148,8 +151,8 @@
 
   #step(): void {
     this.#now += STEP_MILLISECONDS;
-    const due = this.#flying.filter(({ at }) => at <= this.#now);
-    this.#flying = this.#flying.filter(({ at }) => at > this.#now);
+    const due = this.#inFlight.filter(({ at }) => at <= this.#now);
+    this.#inFlight = this.#inFlight.filter(({ at }) => at > this.#now);
     for (const { message } of due) this.#deliver(message);
     for (const member of this.members.values()) this.#run(member);
   }
@@ -159,11 +162,11 @@
     if (node === undefined || member.frozenUntil > this.#now) return;
     node.tick(this.#now);
     this.#finishWriting(member);
-    if (member.writing === undefined) this.#take(member);
-    if (node.isLeading(this.#now)) this.#noteLeader(node);
+    if (member.writing === undefined) this.#processOutput(member);
+    if (node.isLeading(this.#now)) this.#checkSingleLeader(node);
   }
 
-  #take(member: Member): void {
+  #processOutput(member: Member): void {
     const output = member.node!.takeOutput();
     for (const message of output.immediate) this.#send(message);
     if (output.snapshot !== undefined) this.#install(member, output.snapshot);
@@ -212,8 +215,8 @@
     const leader = this.#leader();
     if (leader === undefined) return;
     const node = leader.node!;
-    this.#count += 1;
-    const text = `command ${this.#count}`;
+    this.#proposalCount += 1;
+    const text = `command ${this.#proposalCount}`;
     const index = node.propose(new TextEncoder().encode(text), this.#now);
     if (index.isErr) return;
     node.flush(this.#now);
@@ -261,7 +264,7 @@
     );
   }
 
-  /** A voter loses its disk: its id is gone for good, a new one joins. */
+  /** A voter loses its disk and thus its id; a new member starts instead. */
   #loseDisk(): void {
     const leader = this.#leader();
     if (leader === undefined || this.#repair !== undefined) return;
@@ -270,8 +273,8 @@
     const whole = voters.every(({ id, learner }) =>
       !learner && this.members.has(id)
     );
-    if (lost === undefined || !whole || this.#repaired >= 2) return;
-    this.#repaired += 1;
+    if (lost === undefined || !whole || this.#repairCount >= 2) return;
+    this.#repairCount += 1;
     this.members.delete(lost.id);
     const joining = newMember(`${lost.id}+`, create(MembershipSchema));
     this.members.set(joining.id, joining);
@@ -279,9 +282,12 @@
     this.#repair = { lost: lost.id, joining: joining.id };
   }
 
-  /** The operator's one command: remove, add as learner, then promote. */
+  /**
+   * Performs the next step of the operator's command to replace a member:
+   * remove the lost one, add the new one as a learner, then promote it.
+   */
   #continueRepair(): void {
-    if (this.#isAutomatic) return this.#planMembers();
+    if (this.#isAutomatic) return this.#applyMembershipPlan();
     const node = this.#leader()?.node;
     const repair = this.#repair;
     if (node === undefined || repair === undefined) return;
@@ -305,30 +311,37 @@
     } else if (node.membershipIsCommitted) this.#repair = undefined;
   }
 
-  /** What the leader's host does every tenth of a second. */
-  #planMembers(): void {
+  /**
+   * Proposes the change that `planMembership` returns, as the leader's host
+   * does every tenth of a second.
+   */
+  #applyMembershipPlan(): void {
     const node = this.#leader()?.node;
     if (node === undefined || !node.membershipIsCommitted) return;
-    const now = this.#now * PLAN_SPEED;
-    const asking = [...this.members.values()].filter((member) =>
+    const now = this.#now * PLAN_TIME_SCALE;
+    const candidates = [...this.members.values()].filter((member) =>
       member.node !== undefined && member.node.leaderId === "" &&
-      !this.#cuts.has(`${member.id}>${node.id}`)
+      !this.#cutLinks.has(`${member.id}>${node.id}`)
     );
     const members = planMembership({
       selfId: node.id,
       members: node.membership.members,
-      candidates: asking.map(({ id }) => ({
-        member: create(MemberSchema, { id, name: id, address: hostOf(id) }),
+      candidates: candidates.map(({ id }) => ({
+        member: create(MemberSchema, {
+          id,
+          name: id,
+          address: hostAddressOf(id),
+        }),
         askedAt: now,
       })),
-      wantedVoters: this.#size,
-      heardAt: (id) => node.heardAt(id) * PLAN_SPEED,
+      wantedVoters: this.#wantedVoters,
+      heardAt: (id) => node.heardAt(id) * PLAN_TIME_SCALE,
       isCaughtUp: (id) => node.matchIndexOf(id) >= node.commitIndex,
       now,
     });
     if (members !== undefined) this.#changeMembers(node, members);
     const { membership } = node;
-    const isWhole = membership.members.length === this.#size &&
+    const isWhole = membership.members.length === this.#wantedVoters &&
       membership.members.every(({ id, learner }) =>
         !learner && this.members.has(id)
       );
@@ -346,19 +359,19 @@
     );
   }
 
-  #cut(): void {
-    const [from, to] = [this.#anyMember().id, this.#anyMember().id];
-    this.#cuts.add(`${from}>${to}`);
-    if (this.#random() < 0.6) this.#cuts.add(`${to}>${from}`);
+  #cutLink(): void {
+    const [from, to] = [this.#randomMember().id, this.#randomMember().id];
+    this.#cutLinks.add(`${from}>${to}`);
+    if (this.#random() < 0.6) this.#cutLinks.add(`${to}>${from}`);
   }
 
   #send(message: PeerMessage): void {
-    if (this.#cuts.has(`${message.from}>${message.to}`)) return;
+    if (this.#cutLinks.has(`${message.from}>${message.to}`)) return;
     if (this.#random() < 0.05) return;
     const copies = this.#random() < 0.05 ? 2 : 1;
     for (let copy = 0; copy < copies; copy += 1) {
       const delay = 1 + Math.floor(this.#random() * 30);
-      this.#flying.push({ message, at: this.#now + delay });
+      this.#inFlight.push({ message, at: this.#now + delay });
     }
   }
 
@@ -366,20 +379,20 @@
     const member = this.members.get(message.to);
     if (member?.node === undefined) return;
     if (member.frozenUntil > this.#now) {
-      this.#flying.push({ message, at: member.frozenUntil + 1 });
+      this.#inFlight.push({ message, at: member.frozenUntil + 1 });
       return;
     }
     member.node.receive(message, this.#now);
   }
 
-  #noteLeader(node: RaftNode): void {
+  #checkSingleLeader(node: RaftNode): void {
     const known = this.#leaders.get(node.term) ?? node.id;
     assert.equal(node.id, known, `two leaders in term ${node.term}`);
     this.#leaders.set(node.term, node.id);
   }
 
   #heal(): void {
-    this.#cuts.clear();
+    this.#cutLinks.clear();
     for (const member of this.members.values()) {
       member.frozenUntil = 0;
       if (member.node === undefined) this.#start(member);
@@ -398,21 +411,21 @@
       );
   }
 
-  #anyMember(): Member {
+  #randomMember(): Member {
     const all = [...this.members.values()];
     return all[Math.floor(this.#random() * all.length)]!;
   }
 }
 
-/** A host that lost its disk comes back under another id, at its address. */
-function hostOf(id: string): string {
+/** A host that lost its disk rejoins with a new id from the same address. */
+function hostAddressOf(id: string): string {
   return id.replaceAll("+", "");
 }
 
 function runSchedules(isAutomatic: boolean): void {
-  console.log(`seeds ${FIRST_SEED} to ${FIRST_SEED + SCHEDULES - 1}`);
+  console.log(`seeds ${FIRST_SEED} to ${FIRST_SEED + SCHEDULE_COUNT - 1}`);
   let acknowledged = 0;
-  for (let seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULES; seed += 1) {
+  for (let seed = FIRST_SEED; seed < FIRST_SEED + SCHEDULE_COUNT; seed += 1) {
     const schedule = new Schedule(seed, isAutomatic);
     try {
       schedule.run();
@@ -429,20 +442,23 @@
       throw new Error(`seed ${seed}: ${String(error)}`, { cause: error });
     }
   }
-  assert.ok(acknowledged > SCHEDULES, "too little was accepted to prove much");
+  assert.ok(
+    acknowledged > SCHEDULE_COUNT,
+    "too little was accepted to prove much",
+  );
 }
 
-test("no accepted command is lost or changed, whatever fails", () => {
-  // Story: members crash with unsynced writes, freeze, lose their disks and
-  // are replaced; links cut one way or both, drop, double and reorder. After
-  // healing every member holds what the single-copy twin holds, and every
-  // command that was answered "accepted" is among it.
+test("no accepted command is lost or changed under any fault", () => {
+  // Members crash with unsynced writes, freeze, lose their disks and are
+  // replaced. Links are cut in one or both directions, and they drop, duplicate
+  // and reorder messages. After all faults are healed, every member holds the
+  // reference model's entries, which include every acknowledged command.
   runSchedules(false);
 });
 
-test("nor is one where members are changed without an operator", () => {
-  // Story: the same, and hosts that come back without their disk, or are
-  // silent for long, are replaced by what the leader plans, at any moment of
-  // an election or of another change.
+test("no accepted command is lost or changed by automatic membership changes", () => {
+  // The same faults. In addition, the leader's membership plan replaces hosts
+  // that return without their disk or are silent for long, at any moment of an
+  // election or of another membership change.
   runSchedules(true);
 });
--- a/packages/core/src/consensus/replicator.ts
+++ b/packages/core/src/consensus/replicator.ts
@@ -13,12 +13,13 @@
 import type { PeerProgress } from "./peer_progress.ts";
 import type { RaftLog } from "./raft_log.ts";
 
-const ENTRIES_PER_REQUEST = 256;
+const MAX_ENTRIES_PER_REQUEST = 256;
 /**
- * A request that takes longer to send and to read than a link is borne in
- * silence would never arrive; this much passes in some 10 ms.
+ * A request never arrives if sending and reading it takes longer than a peer
+ * link may stay unacknowledged. This many bytes take about 10 ms.
  */
-const BYTES_PER_REQUEST = 131_072;
+const MAX_BYTES_PER_REQUEST = 131_072;
+/** How long a sent snapshot may be under way before it is sent again. */
 const SNAPSHOT_RETRY_MILLISECONDS = 2_000;
 
 type Send = (to: string, body: PeerMessage["body"]) => void;
@@ -32,7 +33,10 @@
   now: number;
 };
 
-/** A leader's side of replication: who holds what, and what is committed. */
+/**
+ * A leader's side of log replication: sends entries and snapshots to the other
+ * members and tracks what each of them holds and has answered.
+ */
 export class Replicator {
   #options: ReplicatorOptions;
   #progress = new Map<string, PeerProgress>();
@@ -44,7 +48,10 @@
     this.#startedAt = options.now;
   }
 
-  /** Starts a round: every member is sent what it lacks, or a heartbeat. */
+  /**
+   * Starts a round: sends every other member the entries it lacks, or a
+   * heartbeat. Returns the round's number.
+   */
   broadcast(commitIndex: number, now: number): number {
     this.#round += 1;
     for (const member of this.#options.membership.current.members) {
@@ -55,16 +62,20 @@
     return this.#round;
   }
 
-  takeResponse(from: string, response: AppendResponse, now: number): void {
+  handleAppendResponse(
+    from: string,
+    response: AppendResponse,
+    now: number,
+  ): void {
     const progress = this.#progressOf(from);
     progress.heardAt = now;
     progress.answeredRound = Math.max(progress.answeredRound, response.round);
-    if (response.accepted) this.#advance(progress, response);
-    else this.#fallBack(progress, response);
+    if (response.accepted) this.#recordMatch(progress, response);
+    else this.#handleRejection(progress, response);
   }
 
-  /** Sends at once to a member that lags and has nothing under way. */
-  sendMore(to: string, commitIndex: number, now: number): void {
+  /** Sends a member the next entries if some were not yet sent to it. */
+  sendIfLagging(to: string, commitIndex: number, now: number): void {
     const progress = this.#progressOf(to);
     if (progress.nextIndex > this.#options.log.lastIndex) return;
     this.#round += 1;
@@ -75,65 +86,69 @@
     return this.#progressOf(id).matchIndex;
   }
 
-  /** When a member last answered; a new leader counts from its start. */
+  /**
+   * When a member last answered, milliseconds; never earlier than the start of
+   * this leadership.
+   */
   heardAt(id: string): number {
     return Math.max(this.#progressOf(id).heardAt, this.#startedAt);
   }
 
-  /** Members whose log went back behind what they had confirmed. */
-  get regressed(): string[] {
+  /** Members whose log became shorter than what they had confirmed. */
+  get regressedMembers(): string[] {
     return [...this.#progress]
-      .filter(([, progress]) => progress.regressed)
+      .filter(([, progress]) => progress.hasRegressed)
       .map(([id]) => id);
   }
 
-  /** Largest index that a majority of voters holds synced. */
-  majorityIndex(ownSynced: number): number {
-    return this.#majority((id) =>
-      id === this.#options.selfId ? ownSynced : this.matchIndexOf(id)
+  /** Largest index that a majority of voters has synced to disk. */
+  majorityIndex(ownSyncedIndex: number): number {
+    return this.#majorityValue((id) =>
+      id === this.#options.selfId ? ownSyncedIndex : this.matchIndexOf(id)
     );
   }
 
-  /** Largest round that a majority has answered. */
+  /** Largest round that a majority of voters has answered. */
   confirmedRound(): number {
-    return this.#majority((id) =>
+    return this.#majorityValue((id) =>
       id === this.#options.selfId
         ? this.#round
         : this.#progressOf(id).answeredRound
     );
   }
 
-  /** Whether a majority was heard within the last `window` milliseconds. */
-  hasQuorumContact(now: number, window: number): boolean {
-    const heardAt = this.#majority((id) =>
+  /** Whether a majority of voters answered within `windowMilliseconds`. */
+  hasQuorumContact(now: number, windowMilliseconds: number): boolean {
+    const heardAt = this.#majorityValue((id) =>
       id === this.#options.selfId ? now : this.heardAt(id)
     );
-    return now - heardAt <= window;
+    return now - heardAt <= windowMilliseconds;
   }
 
-  #advance(progress: PeerProgress, response: AppendResponse): void {
+  #recordMatch(progress: PeerProgress, response: AppendResponse): void {
     if (response.matchIndex < progress.matchIndex) return;
     progress.matchIndex = response.matchIndex;
     progress.matchRound = this.#round;
     progress.nextIndex = Math.max(progress.nextIndex, response.matchIndex + 1);
-    progress.snapshotUntil = -Infinity;
+    progress.snapshotRetryAt = -Infinity;
   }
 
-  #fallBack(progress: PeerProgress, response: AppendResponse): void {
-    // Sent before the latest confirmation came: it may have overtaken it.
+  #handleRejection(progress: PeerProgress, response: AppendResponse): void {
+    // Answers a request sent before the latest confirmation arrived, so this
+    // rejection may be older than that confirmation.
     if (response.round <= progress.matchRound) return;
-    // Sent before what was sent again is there: each such answer would bring
-    // all of it once more.
-    if (response.round < progress.resentRound) return;
-    // A folder put back from an older copy shows as a member whose log is
+    // Answers a request sent before the latest resend. Without this check,
+    // each such rejection would cause all of those entries to be sent again.
+    if (response.round < progress.resendRound) return;
+    // A member whose data folder was restored from an older copy has a log
     // shorter than what it had confirmed. Counting it again could lose an
     // accepted change, so nothing more is sent to it or counted from it.
     if (response.lastIndex < progress.matchIndex) {
-      progress.regressed = true;
+      progress.hasRegressed = true;
       progress.matchIndex = 0;
       return;
     }
-    progress.isFallenBack = true;
+    progress.isResendPending = true;
     progress.nextIndex = Math.max(
       progress.matchIndex + 1,
       Math.min(response.matchIndex + 1, progress.nextIndex),
@@ -142,7 +157,7 @@
 
   #sendTo(to: string, commitIndex: number, now: number): void {
     const progress = this.#progressOf(to);
-    if (progress.regressed) return;
+    if (progress.hasRegressed) return;
     const { log, send } = this.#options;
     const previousIndex = progress.nextIndex - 1;
     const previousTerm = log.termAt(previousIndex);
@@ -150,13 +165,13 @@
       this.#sendSnapshot(to, now);
       return;
     }
-    const entries = withinBytes(
-      log.slice(progress.nextIndex, ENTRIES_PER_REQUEST),
+    const entries = limitToRequestSize(
+      log.slice(progress.nextIndex, MAX_ENTRIES_PER_REQUEST),
     );
     progress.nextIndex += entries.length;
-    if (entries.length > 0 && progress.isFallenBack) {
-      progress.isFallenBack = false;
-      progress.resentRound = this.#round;
+    if (entries.length > 0 && progress.isResendPending) {
+      progress.isResendPending = false;
+      progress.resendRound = this.#round;
     }
     send(to, {
       case: "appendRequest",
@@ -172,8 +187,8 @@
 
   #sendSnapshot(to: string, now: number): void {
     const progress = this.#progressOf(to);
-    if (now < progress.snapshotUntil) return;
-    progress.snapshotUntil = now + SNAPSHOT_RETRY_MILLISECONDS;
+    if (now < progress.snapshotRetryAt) return;
+    progress.snapshotRetryAt = now + SNAPSHOT_RETRY_MILLISECONDS;
     const snapshot = this.#options.snapshot();
     this.#options.send(to, {
       case: "snapshotRequest",
@@ -181,7 +196,8 @@
     });
   }
 
-  #majority(valueOf: (id: string) => number): number {
+  /** The largest value that a majority of voters reaches. */
+  #majorityValue(valueOf: (id: string) => number): number {
     const values = this.#options.membership.voters
       .map((member) => valueOf(member.id))
       .sort((left, right) => right - left);
@@ -196,11 +212,11 @@
         matchRound: 0,
         nextIndex: this.#options.log.lastIndex + 1,
         answeredRound: 0,
-        resentRound: 0,
-        isFallenBack: false,
+        resendRound: 0,
+        isResendPending: false,
         heardAt: -Infinity,
-        snapshotUntil: -Infinity,
-        regressed: false,
+        snapshotRetryAt: -Infinity,
+        hasRegressed: false,
       };
       this.#progress.set(id, progress);
     }
@@ -208,12 +224,15 @@
   }
 }
 
-/** The first entries that fit one request; at least one, however large. */
-function withinBytes(entries: LogEntry[]): LogEntry[] {
+/**
+ * The longest prefix of `entries` with at most MAX_BYTES_PER_REQUEST bytes of
+ * data; at least one entry, however large.
+ */
+function limitToRequestSize(entries: LogEntry[]): LogEntry[] {
   let bytes = 0;
   const end = entries.findIndex(({ data }) => {
     bytes += data.length;
-    return bytes > BYTES_PER_REQUEST;
+    return bytes > MAX_BYTES_PER_REQUEST;
   });
   return end < 0 ? entries : entries.slice(0, Math.max(1, end));
 }
--- a/packages/core/src/consensus/vote_tally.ts
+++ b/packages/core/src/consensus/vote_tally.ts
@@ -1,19 +1,20 @@
-/** Counts one election's answers. */
+/** Collects the votes granted in one pre-vote or election. */
 export class VoteTally {
   readonly preVote: boolean;
   readonly transfer: boolean;
-  #granted = new Set<string>();
+  #grantedBy = new Set<string>();
 
   constructor(options: { preVote: boolean; transfer: boolean }) {
     this.preVote = options.preVote;
     this.transfer = options.transfer;
   }
 
-  grant(id: string): void {
-    this.#granted.add(id);
+  addVote(id: string): void {
+    this.#grantedBy.add(id);
   }
 
-  count(isVoter: (id: string) => boolean): number {
-    return [...this.#granted].filter(isVoter).length;
+  /** Votes granted by members that are voters now. */
+  countVotes(isVoter: (id: string) => boolean): number {
+    return [...this.#grantedBy].filter(isVoter).length;
   }
 }
