--- a/packages/core/src/state/apply_command.ts
+++ b/packages/core/src/state/apply_command.ts
@@ -15,8 +15,9 @@
 const ACCEPTED: ChangeAnswer = { accepted: true };
 
 /**
- * The state machine: changes the tables by one committed command. Uses
- * nothing but its arguments, so that every host gets the same tables.
+ * Applies one committed command at log index `index` to the tables, and returns
+ * the answer for the proposer. Depends only on its arguments, so that every
+ * host computes the same tables.
  */
 export function applyCommand(
   state: ControlState,
--- a/packages/core/src/state/change_answer.ts
+++ b/packages/core/src/state/change_answer.ts
@@ -1,6 +1,7 @@
 /**
- * The state machine's answer to a command. A refusal says why in `reason`;
- * `value` is what stands, either way.
+ * The state machine's answer to a command. `reason` says why a command was
+ * refused. `value`, if present, describes what is in effect, whether or not
+ * the command was accepted.
  */
 export type ChangeAnswer = {
   accepted: boolean;
--- a/packages/core/src/state/command.ts
+++ b/packages/core/src/state/command.ts
@@ -1,5 +1,5 @@
 import type * as z from "zod";
 import type { commandSchema } from "./command_schema.ts";
 
-/** A checked command of the replicated log. */
+/** A validated command of the replicated log. */
 export type Command = z.infer<typeof commandSchema>;
--- a/packages/core/src/state/control_state.ts
+++ b/packages/core/src/state/control_state.ts
@@ -8,16 +8,19 @@
 import type { PermitRow } from "../rollout/permit_row.ts";
 import type { WeightsRow } from "../rollout/weights_row.ts";
 
-/** The tables that the replicated log builds. */
+/** The tables that result from applying the replicated log. */
 export type ControlState = {
   appliedIndex: number;
-  /** Log index of the latest change of any host's floor. */
+  /**
+   * Log index of the latest command that may have changed the rate that entry
+   * hosts are guaranteed while cut off.
+   */
   limitsChangedAt: number;
   /** By workspace. */
   contracts: Map<string, ContractRow>;
   /** By service. */
   weights: Map<string, WeightsRow>;
-  /** Backend servers that take no new work. */
+  /** Backend servers that are sent no new work. */
   drained: Set<string>;
   /** By host. */
   entryHosts: Map<string, EntryHostRow>;
@@ -25,11 +28,17 @@
   permits: Map<string, PermitRow>;
   /** The newest routing configuration; undefined before the first. */
   routing: RoutingRow | undefined;
-  /** Versions of weights that operators named last, by model. */
+  /** Weights versions that operators named last, by model. */
   namedWeights: Map<string, NamedWeightsRow>;
-  /** Requests that may end what runs them, by fingerprint, oldest first. */
+  /**
+   * Requests suspected of crashing the backend servers that run them, by
+   * fingerprint, oldest first.
+   */
   suspectedRequests: Map<string, SuspectedRequestRow>;
-  /** Requests that end what runs them, by fingerprint, oldest first. */
+  /**
+   * Requests that are refused because they crash the backend servers that run
+   * them, by fingerprint, oldest first.
+   */
   blamedRequests: Map<string, BlamedRequestRow>;
   /** By workspace and key, oldest first. */
   claims: Map<string, ClaimRow>;
--- a/packages/core/src/state/decide_numbered_change.ts
+++ b/packages/core/src/state/decide_numbered_change.ts
@@ -1,6 +1,6 @@
 import type { NumberedRow } from "./numbered_row.ts";
 
-const HISTORY_LENGTH = 64;
+const MAX_HISTORY_LENGTH = 64;
 
 type Decision =
   | { kind: "apply"; number: number; history: NumberedRow["history"] }
@@ -8,10 +8,12 @@
   | { kind: "lost" };
 
 /**
- * Decides an operator's change by the number it expects to replace. Two
- * operators can race under one number, and a client that lost its answer
- * sends again: equal number and equal content is the same change and gets
- * the same answer, equal number and other content loses.
+ * Decides an operator's change to a row by optimistic concurrency: `expected`
+ * is the number of the row that the change replaces. Two operators can change
+ * the same row at once, and a client that did not receive its answer resends
+ * its change. A change whose number and digest are in the row's history is such
+ * a resend and gets the same answer ("repeated"). Any other change that does
+ * not replace the current number fails ("lost").
  */
 export function decideNumberedChange(
   row: NumberedRow | undefined,
@@ -22,10 +24,14 @@
   const number = expected + 1;
   if (current === expected) {
     const history = [...(row?.history ?? []), { number, digest }];
-    return { kind: "apply", number, history: history.slice(-HISTORY_LENGTH) };
+    return {
+      kind: "apply",
+      number,
+      history: history.slice(-MAX_HISTORY_LENGTH),
+    };
   }
-  const earlier = row?.history.find((change) => change.number === number);
-  return earlier?.digest === digest
+  const recorded = row?.history.find((change) => change.number === number);
+  return recorded?.digest === digest
     ? { kind: "repeated", number }
     : { kind: "lost" };
 }
--- a/packages/core/src/state/decode_control_state.ts
+++ b/packages/core/src/state/decode_control_state.ts
@@ -11,7 +11,7 @@
 import type { ControlState } from "./control_state.ts";
 import { emptyControlState } from "./empty_control_state.ts";
 
-type Encoded = {
+type EncodedControlState = {
   appliedIndex: number;
   limitsChangedAt: number;
   contracts: ContractRow[];
@@ -19,44 +19,49 @@
   drained: string[];
   entryHosts: EntryHostRow[];
   permits: PermitRow[];
-  /** Missing in snapshots of versions that had no routing. */
+  /** Missing in snapshots written by versions without routing. */
   routing?: RoutingRow;
   namedWeights?: NamedWeightsRow[];
-  /** Missing in snapshots of versions that blamed none. */
+  /** Missing in snapshots written by versions that did not blame requests. */
   suspectedRequests?: SuspectedRequestRow[];
   blamedRequests?: BlamedRequestRow[];
   claims: ClaimRow[];
 };
 
-function tableOf<Row>(
+function indexRowsBy<Row>(
   rows: Row[],
   keyOf: (row: Row) => string,
 ): Map<string, Row> {
   return new Map(rows.map((row) => [keyOf(row), row]));
 }
 
-/** Reads what `encodeControlState` wrote; no bytes is the empty state. */
+/**
+ * Decodes what `encodeControlState` wrote. Returns the empty state for empty
+ * `bytes`.
+ */
 export function decodeControlState(bytes: Uint8Array): ControlState {
   if (bytes.length === 0) return emptyControlState();
-  const encoded = JSON.parse(new TextDecoder().decode(bytes)) as Encoded;
+  const encoded = JSON.parse(
+    new TextDecoder().decode(bytes),
+  ) as EncodedControlState;
   return {
     appliedIndex: encoded.appliedIndex,
     limitsChangedAt: encoded.limitsChangedAt,
-    contracts: tableOf(encoded.contracts, (row) => row.workspace),
-    weights: tableOf(encoded.weights, (row) => row.service),
+    contracts: indexRowsBy(encoded.contracts, (row) => row.workspace),
+    weights: indexRowsBy(encoded.weights, (row) => row.service),
     drained: new Set(encoded.drained),
-    entryHosts: tableOf(encoded.entryHosts, (row) => row.host),
-    permits: tableOf(encoded.permits, (row) => row.backendServer),
+    entryHosts: indexRowsBy(encoded.entryHosts, (row) => row.host),
+    permits: indexRowsBy(encoded.permits, (row) => row.backendServer),
     routing: encoded.routing,
-    namedWeights: tableOf(encoded.namedWeights ?? [], (row) => row.model),
-    suspectedRequests: tableOf(
+    namedWeights: indexRowsBy(encoded.namedWeights ?? [], (row) => row.model),
+    suspectedRequests: indexRowsBy(
       encoded.suspectedRequests ?? [],
       (row) => row.fingerprint,
     ),
-    blamedRequests: tableOf(
+    blamedRequests: indexRowsBy(
       encoded.blamedRequests ?? [],
       (row) => row.fingerprint,
     ),
-    claims: tableOf(encoded.claims, claimId),
+    claims: indexRowsBy(encoded.claims, claimId),
   };
 }
--- a/packages/core/src/state/empty_control_state.ts
+++ b/packages/core/src/state/empty_control_state.ts
@@ -1,6 +1,6 @@
 import type { ControlState } from "./control_state.ts";
 
-/** The state before the first command. */
+/** Returns the state before the first command. */
 export function emptyControlState(): ControlState {
   return {
     appliedIndex: 0,
--- a/packages/core/src/state/encode_control_state.ts
+++ b/packages/core/src/state/encode_control_state.ts
@@ -1,11 +1,17 @@
 import type { ControlState } from "./control_state.ts";
 
 type Options = {
-  /** Entry hosts follow without claims: they would be most of the bytes. */
+  /**
+   * False for entry hosts, which do not use claims: claims are most of the
+   * bytes.
+   */
   withClaims: boolean;
 };
 
-/** Writes the tables as JSON, in table order, for snapshots and followers. */
+/**
+ * Encodes the tables as JSON, with rows in table order, for snapshots and for
+ * entry hosts.
+ */
 export function encodeControlState(
   state: ControlState,
   options: Options,
--- a/packages/core/src/state/is_followed_command.ts
+++ b/packages/core/src/state/is_followed_command.ts
@@ -1,7 +1,7 @@
 import type { Command } from "./command.ts";
 
-/** Most of the bytes, and of no use to entry hosts. */
-const NOT_FOLLOWED: ReadonlySet<Command["kind"]> = new Set([
+/** Commands that entry hosts do not use. They are most of the bytes. */
+const NOT_FOLLOWED_KINDS: ReadonlySet<Command["kind"]> = new Set([
   "claim",
   "settle-claim",
   "cancel-claim",
@@ -10,7 +10,7 @@
   "suspect-request",
 ]);
 
-/** Whether entry hosts are sent this command. */
+/** Whether this command is sent to entry hosts. */
 export function isFollowedCommand(command: Command): boolean {
-  return !NOT_FOLLOWED.has(command.kind);
+  return !NOT_FOLLOWED_KINDS.has(command.kind);
 }
--- a/packages/core/src/state/numbered_row.ts
+++ b/packages/core/src/state/numbered_row.ts
@@ -1,4 +1,7 @@
-/** A row that operators replace under a number. */
+/**
+ * A row that operators replace. `number` counts its accepted changes, and
+ * `history` holds the digests of the latest ones.
+ */
 export type NumberedRow = {
   number: number;
   history: { number: number; digest: string }[];
