--- a/packages/core/src/timeline/hybrid_clock.ts
+++ b/packages/core/src/timeline/hybrid_clock.ts
@@ -1,29 +1,29 @@
 import type { HybridTime } from "./hybrid_time.ts";
 
 /**
- * A hybrid logical clock: near to wall time, and never behind what caused
- * the event, however far the hosts' clocks are apart.
+ * A hybrid logical clock: stays close to wall time, and stamps an event later
+ * than the events that caused it, however far the hosts' clocks differ.
  */
 export class HybridClock {
   #latest: HybridTime = { time: 0, counter: 0 };
 
-  /** Stamps a local event. */
+  /** Advances the clock for a local event and returns the event's stamp. */
   stamp(wallTime: number): HybridTime {
     return this.#advance(wallTime, this.#latest);
   }
 
-  /** Takes in a stamp that came with a message. */
+  /** Advances the clock past a stamp received with a message. */
   observe(wallTime: number, received: HybridTime): HybridTime {
-    const ahead = received.time > this.#latest.time ||
+    const isReceivedLater = received.time > this.#latest.time ||
       (received.time === this.#latest.time &&
         received.counter > this.#latest.counter);
-    return this.#advance(wallTime, ahead ? received : this.#latest);
+    return this.#advance(wallTime, isReceivedLater ? received : this.#latest);
   }
 
-  #advance(wallTime: number, floor: HybridTime): HybridTime {
-    this.#latest = wallTime > floor.time
+  #advance(wallTime: number, lowerBound: HybridTime): HybridTime {
+    this.#latest = wallTime > lowerBound.time
       ? { time: wallTime, counter: 0 }
-      : { time: floor.time, counter: floor.counter + 1 };
+      : { time: lowerBound.time, counter: lowerBound.counter + 1 };
     return this.#latest;
   }
 }
--- a/packages/core/src/timeline/hybrid_time.ts
+++ b/packages/core/src/timeline/hybrid_time.ts
@@ -1,7 +1,7 @@
-/** A hybrid logical clock's reading. */
+/** A reading of a hybrid logical clock. */
 export type HybridTime = {
-  /** Milliseconds since 1970. */
+  /** Unix time in milliseconds. */
   time: number;
-  /** Orders readings within one millisecond. */
+  /** Orders readings with an equal `time`. */
   counter: number;
 };
--- a/packages/core/src/timeline/timeline_ring.ts
+++ b/packages/core/src/timeline/timeline_ring.ts
@@ -7,7 +7,10 @@
   detail: string;
 };
 
-/** A process's latest events, bounded. */
+/**
+ * Keeps the latest events of one process, each with a hybrid clock's stamp.
+ * Holds fewer than twice `capacity` events; returns at most `capacity`.
+ */
 export class TimelineRing {
   #process: string;
   #capacity: number;
@@ -27,16 +30,20 @@
     }
   }
 
-  /** Takes in a stamp that came with a message, to stay behind no cause. */
+  /**
+   * Advances the clock past a stamp received with a message, so that later
+   * events are stamped after their cause.
+   */
   observe(wallTime: number, received: HybridTime): void {
     this.#clock.observe(wallTime, received);
   }
 
+  /** Advances the clock and returns a stamp to send with a message. */
   now(wallTime: number): HybridTime {
     return this.#clock.stamp(wallTime);
   }
 
-  /** Events since `time`, oldest first, at most the ring's capacity. */
+  /** Events at or after `time`, oldest first, at most `capacity`. */
   since(time: number): RingEvent[] {
     return this.#events
       .filter((event) => event.time >= time)
--- a/packages/core/src/timeline/timeline_test.ts
+++ b/packages/core/src/timeline/timeline_test.ts
@@ -2,9 +2,9 @@
 import { test } from "node:test";
 import { TimelineRing } from "./timeline_ring.ts";
 
-test("an effect never stands before its cause, however far clocks are apart", () => {
-  // Story: the clock of one host is a minute behind. An event there that
-  // follows a message from another host must still come after it.
+test("an effect is never ordered before its cause, however far clocks differ", () => {
+  // One host's clock is a minute behind. An event on it that follows a message
+  // from another host must still be ordered after the message's cause.
   const ahead = new TimelineRing("ahead", 10);
   const behind = new TimelineRing("behind", 10);
   ahead.record(60_000, "cause", "");
@@ -18,7 +18,7 @@
   assert.deepEqual(merged.map(({ kind }) => kind), ["cause", "effect", "end"]);
 });
 
-test("a ring keeps its latest events only", () => {
+test("a ring keeps only its latest events", () => {
   const ring = new TimelineRing("one", 5);
   for (let count = 1; count <= 40; count += 1) {
     ring.record(count, "event", String(count));
