--- a/packages/daemon/src/gateway/admit_call.ts
+++ b/packages/daemon/src/gateway/admit_call.ts
@@ -8,30 +8,31 @@
 import { readBody } from "../http/read_body.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
 import type { CallRefusal } from "./call_refusal.ts";
-import type { GatewayWorld } from "./gateway_world.ts";
+import type { GatewayContext } from "./gateway_context.ts";
 
-/** Of a client that does not say. */
-const USUAL_PATIENCE_MILLISECONDS = 2_500;
+/** Assumed for clients that send no deadline. */
+const DEFAULT_PATIENCE_MILLISECONDS = 2_500;
 
 const LINE_END_BYTES = 2;
 
-/** Ranks that backend servers know: 0 to 9. */
-const LAST_RANK = 9;
+/** Backend servers know the queue ranks 0 to 9. */
+const MAX_RANK = 9;
 
-type Place = { route: Route; workspace: string | undefined; rank: number };
+type RouteMatch = { route: Route; workspace: string | undefined; rank: number };
 
 /**
- * Checks a request and reads it whole; the refusal says what is wrong.
+ * Checks a request, finds its route and reads its body; an error is the refusal
+ * to send.
  *
- * @param startedAt when its head was read, monotonic milliseconds.
+ * @param startedAt when the request's head was read, monotonic milliseconds.
  */
 export async function admitCall(
-  world: GatewayWorld,
+  context: GatewayContext,
   request: IncomingMessage,
   startedAt: number,
 ): Promise<Result<AdmittedCall, CallRefusal>> {
-  const facts = world.format.readRequest(request.headers);
-  const table = world.feed.table;
+  const facts = context.format.readRequest(request.headers);
+  const table = context.feed.table;
   if (table === undefined) {
     return Result.err({
       status: 503,
@@ -39,26 +40,28 @@
       retryAfterMilliseconds: retryAfter({
         cause: "outage",
         patienceMilliseconds: facts.deadlineMilliseconds ??
-          USUAL_PATIENCE_MILLISECONDS,
-        random: world.random(),
+          DEFAULT_PATIENCE_MILLISECONDS,
+        random: context.random(),
       }),
     });
   }
-  if (headBytes(request) > table.configuration.callerLimits.maxHeaderBytes) {
+  if (
+    measureHeadBytes(request) > table.configuration.callerLimits.maxHeaderBytes
+  ) {
     return refuse(431, "its headers are larger than the configuration allows");
   }
-  const place = findPlace(table, request, facts);
-  if (place.isErr) return Result.err(place.error);
+  const match = matchRoute(table, request, facts);
+  if (match.isErr) return Result.err(match.error);
   if (facts.id === undefined) return refuse(400, "the attempt has no id");
-  const body = await readWhole(table, request);
+  const body = await readRequestBody(table, request);
   if (body.isErr) return Result.err(body.error);
-  const { route, workspace, rank } = place.value;
-  const service = table.service(pickTarget(route, world.random()))!;
+  const { route, workspace, rank } = match.value;
+  const service = table.service(pickTarget(route, context.random()))!;
   const patience = Math.min(
     route.timeoutMilliseconds,
     facts.deadlineMilliseconds ?? Infinity,
   );
-  const spentBefore = world.patience.spentBefore(
+  const spentBefore = context.patience.spentBefore(
     route,
     facts.deadlineMilliseconds,
   );
@@ -74,24 +77,26 @@
     rawHeaders: request.rawHeaders,
     body: body.value,
     startedAt,
-    spentBefore,
+    spentBeforeMilliseconds: spentBefore,
     lateAt: startedAt + route.targetMilliseconds - spentBefore,
-    endsAt: startedAt + patience,
+    deadlineAt: startedAt + patience,
   });
 }
 
-/** The request line and headers as they came, in bytes. */
-function headBytes({ method, url, rawHeaders }: IncomingMessage): number {
+/** Size of the request line and the headers as received, in bytes. */
+function measureHeadBytes(
+  { method, url, rawHeaders }: IncomingMessage,
+): number {
   const line = `${method} ${url} HTTP/1.1`.length + LINE_END_BYTES;
-  // A name is followed by a colon and a space, a value by the line's end.
+  // Each name is followed by a colon and a space, each value by CRLF.
   return rawHeaders.reduce((sum, part) => sum + part.length + 2, line);
 }
 
-function findPlace(
+function matchRoute(
   table: RouteTable,
   request: IncomingMessage,
   facts: RequestFacts,
-): Result<Place, CallRefusal> {
+): Result<RouteMatch, CallRefusal> {
   const host = (request.headers.host ?? "").toLowerCase().replace(/:\d+$/, "");
   const route = table.match(host, request.url ?? "/");
   if (route === undefined) return refuse(404, "no route matches");
@@ -99,22 +104,22 @@
     return Result.ok({
       route,
       workspace: undefined,
-      rank: rankOf(route.priority),
+      rank: priorityToRank(route.priority),
     });
   }
   const workspace = facts.key === undefined
     ? undefined
     : table.workspaceOf(facts.key);
   if (workspace === undefined) return refuse(401, "the key is not known");
-  const rank = rankOf(workspace.priority ?? route.priority);
+  const rank = priorityToRank(workspace.priority ?? route.priority);
   return Result.ok({ route, workspace: workspace.name, rank });
 }
 
-function rankOf(priority: number): number {
-  return Math.min(LAST_RANK, Math.max(0, Math.round(priority)));
+function priorityToRank(priority: number): number {
+  return Math.min(MAX_RANK, Math.max(0, Math.round(priority)));
 }
 
-async function readWhole(
+async function readRequestBody(
   table: RouteTable,
   request: IncomingMessage,
 ): Promise<Result<AdmittedCall["body"], CallRefusal>> {
--- a/packages/daemon/src/gateway/admitted_call.ts
+++ b/packages/daemon/src/gateway/admitted_call.ts
@@ -3,24 +3,31 @@
 import type { ServiceDefinition } from "@teaselrouter/core/gateway/service_definition.ts";
 import type { Buffer } from "node:buffer";
 
-/** A request that was checked and is to be placed. */
+/** A request that was checked and is to be routed. */
 export type AdmittedCall = {
   id: string;
   facts: RequestFacts;
   route: Route;
   service: ServiceDefinition;
   workspace: string | undefined;
-  /** Rank in backend servers' queues, 0 first to 9, while it is in time. */
+  /**
+   * Rank in backend servers' queues while the request is in time, 0 (first) to
+   * 9.
+   */
   rank: number;
-  /** What its client spent on earlier tries, milliseconds. */
-  spentBefore: number;
-  /** Monotonic milliseconds: an answer, or its first event, is late then. */
+  /** Time that the client spent on its earlier attempts; 0 for the first. */
+  spentBeforeMilliseconds: number;
+  /**
+   * When an answer, or a stream's first event, becomes late, monotonic
+   * milliseconds.
+   */
   lateAt: number;
   method: string;
   path: string;
   rawHeaders: string[];
   body: Buffer | undefined;
-  /** Monotonic milliseconds: when its head was read, and when it is given up. */
+  /** When the request's head was read, monotonic milliseconds. */
   startedAt: number;
-  endsAt: number;
+  /** When the request is given up, monotonic milliseconds. */
+  deadlineAt: number;
 };
--- a/packages/daemon/src/gateway/answer_passer.ts
+++ b/packages/daemon/src/gateway/answer_forwarder.ts
@@ -2,22 +2,25 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
 import { collectAnswer } from "./collect_answer.ts";
-import type { GatewayWorld } from "./gateway_world.ts";
+import type { GatewayContext } from "./gateway_context.ts";
 import { StreamRelay } from "./stream_relay.ts";
 
-/** Answers of plain services are some hundred bytes; larger ones stream. */
-const MOST_COLLECTED_BYTES = 65_536;
+/**
+ * Most answers of plain services have some hundred bytes; larger ones than this
+ * are streamed.
+ */
+const MAX_BUFFERED_BYTES = 65_536;
 
 type Options = {
-  world: GatewayWorld;
+  context: GatewayContext;
   call: AdmittedCall;
   response: ServerResponse;
-  /** Whether the client is not to get anything more. */
+  /** Whether the client must not be sent anything more. */
   isOver: () => boolean;
 };
 
-/** Passes backend servers' answers on to a client as one. */
-export class AnswerPasser {
+/** Forwards the answers of backend servers to a client as one. */
+export class AnswerForwarder {
   #options: Options;
   #relay: StreamRelay | undefined;
 
@@ -25,32 +28,35 @@
     this.#options = options;
   }
 
-  /** Whether something of an answer may have reached the client. */
+  /** Whether part of an answer may have reached the client. */
   get hasBegun(): boolean {
     return this.#relay !== undefined;
   }
 
-  /** Whether another backend server can go on where the last one broke off. */
-  get canBeGoneOnWith(): boolean {
-    return this.#relay?.canBeGoneOnWith ?? true;
+  /** Whether another backend server can resume where the last one broke off. */
+  get canResume(): boolean {
+    return this.#relay?.canResume ?? true;
   }
 
   get lastEventId(): string | undefined {
     return this.#relay?.lastEventId;
   }
 
-  /** When the first event of a stream was passed on; undefined before. */
+  /**
+   * When the first event of a stream was forwarded, monotonic milliseconds;
+   * undefined before.
+   */
   get firstEventAt(): number | undefined {
-    return this.#relay?.firstPassedAt;
+    return this.#relay?.firstWrittenAt;
   }
 
   /**
-   * Passes one answer on, but for its end: "whole" leaves it to the caller to
-   * finish, "broken" leaves what was passed as it is.
+   * Forwards one answer except for its end. After "whole" the caller ends the
+   * response; after "broken" what was forwarded stands as it is.
    *
-   * @param hasFailed asked at the end: whether the connection failed.
+   * @param hasFailed called at the end: whether the connection failed.
    */
-  async pass(
+  async forward(
     message: IncomingMessage,
     hasFailed: () => boolean,
   ): Promise<"whole" | "broken"> {
@@ -59,30 +65,31 @@
       const collected = await this.#collect(message, hasFailed);
       if (collected !== "large") return collected;
     }
-    if (this.#relay === undefined) this.#begin(message);
+    if (this.#relay === undefined) this.#startRelay(message);
     const end = await this.#relay!.relay(message);
     return end === "complete" && !hasFailed() ? "whole" : "broken";
   }
 
   /**
-   * An answer that is no stream is passed on once it is whole: one that
-   * breaks off is then never seen, and may be asked for again elsewhere.
+   * Buffers an answer that is no stream and forwards it once it is whole. The
+   * client never sees one that breaks off, which may then be requested again
+   * elsewhere.
    */
   async #collect(
     message: IncomingMessage,
     hasFailed: () => boolean,
   ): Promise<"whole" | "broken" | "large"> {
     const { response, isOver } = this.#options;
-    const body = await collectAnswer(message, MOST_COLLECTED_BYTES);
+    const body = await collectAnswer(message, MAX_BUFFERED_BYTES);
     if (body.kind === "broken" || isOver()) return "broken";
     if (body.kind === "whole" && hasFailed()) return "broken";
-    if (body.kind === "large") this.#begin(message);
+    if (body.kind === "large") this.#startRelay(message);
     else this.#writeHead(message);
     response.write(body.bytes);
     return body.kind;
   }
 
-  #begin(message: IncomingMessage): void {
+  #startRelay(message: IncomingMessage): void {
     const { call, response } = this.#options;
     const { kind, resumable } = call.route;
     this.#relay = new StreamRelay({
@@ -95,10 +102,10 @@
   }
 
   #writeHead(message: IncomingMessage): void {
-    const { world, call, response } = this.#options;
-    const headers = world.format.returnHeaders(message.rawHeaders);
+    const { context, call, response } = this.#options;
+    const headers = context.format.returnHeaders(message.rawHeaders);
     response.writeHead(message.statusCode ?? 502, headers);
-    world.counted.headMilliseconds.observe(
+    context.metrics.headMilliseconds.observe(
       { kind: call.route.kind },
       monotonicMilliseconds() - call.startedAt,
     );
--- a/packages/daemon/src/gateway/attempt_outcome.ts
+++ b/packages/daemon/src/gateway/attempt_outcome.ts
@@ -1,11 +1,14 @@
 import type { AnswerFacts } from "@teaselrouter/core/gateway/answer_facts.ts";
 import type { IncomingMessage } from "node:http";
 
-/** What became of sending a request to one backend server. */
+/** Outcome of one attempt to send a request to a backend server. */
 export type AttemptOutcome =
-  /** The head of an answer; its body is still to be read. */
+  /** The head of an answer was received; its body is still to be read. */
   | { kind: "answer"; message: IncomingMessage; facts: AnswerFacts }
-  /** No byte of it reached the backend server, or it says that it didn't run. */
+  /**
+   * No byte of the request reached the backend server, or the backend server
+   * says that the request didn't run.
+   */
   | { kind: "not-run"; reason: string; isUnreachable: boolean }
-  /** It was sent and there is no answer: it may have run. */
-  | { kind: "broken"; reason: string; isGivenUp: boolean };
+  /** The request was sent and has no answer: it may have run. */
+  | { kind: "broken"; reason: string; isAborted: boolean };
--- a/packages/daemon/src/gateway/backend_agent.ts
+++ b/packages/daemon/src/gateway/backend_agent.ts
@@ -2,25 +2,26 @@
 import type { Socket } from "node:net";
 
 /**
- * Part of a backend server's announced idle timeout that is made use of: a
- * request sent as the timeout strikes is lost, and may not be repeated.
+ * Fraction of a backend server's announced idle timeout for which a connection
+ * is kept. A request sent just as the backend server closes the connection is
+ * lost, and may not be repeated.
  */
-const IDLE_SHARE = 0.6;
+const IDLE_TIMEOUT_FRACTION = 0.6;
 /**
- * Longest idle time of a connection that is used again. One that something
- * between the ends has forgotten shows only when a request on it is lost, so
- * few such connections are kept.
+ * Longest idle time of a connection that is reused. That a middlebox has
+ * dropped a connection's state shows only when a request on it is lost, so few
+ * such connections are kept.
  */
-const LONGEST_IDLE_MILLISECONDS = 4_000;
+const MAX_IDLE_MILLISECONDS = 4_000;
 
-/** Kept connections to one backend server. */
+/** Keep-alive connections to one backend server. */
 export class BackendAgent extends Agent {
   constructor(maxSockets: number) {
     super({
       keepAlive: true,
       maxSockets,
       scheduling: "lifo",
-      timeout: LONGEST_IDLE_MILLISECONDS,
+      timeout: MAX_IDLE_MILLISECONDS,
     });
   }
 
@@ -42,26 +43,27 @@
   }
 
   override keepSocketAlive(socket: Socket): boolean {
-    // Sets the timeout that the backend server announced, if it is shorter.
+    // Sets the socket's timeout to the one that the backend server announced,
+    // if that is shorter.
     super.keepSocketAlive(socket);
-    const announced = socket.timeout ?? LONGEST_IDLE_MILLISECONDS;
-    socket.setTimeout(announced * IDLE_SHARE);
-    // Bytes that come while nothing is asked belong to no request: a second
-    // answer, or one too long. Left there, they would be taken for the answer
-    // to the next request.
-    const endSpoiled = () => socket.destroy();
-    socket.once("data", endSpoiled);
-    spoilGuards.set(socket, endSpoiled);
+    const announced = socket.timeout ?? MAX_IDLE_MILLISECONDS;
+    socket.setTimeout(announced * IDLE_TIMEOUT_FRACTION);
+    // Bytes that arrive while no request is in flight belong to none: a second
+    // answer, or one that is too long. Left unread, they would be taken for the
+    // answer to the next request.
+    const destroyOnData = () => socket.destroy();
+    socket.once("data", destroyOnData);
+    idleDataListeners.set(socket, destroyOnData);
     socket.resume();
     return true;
   }
 
   override reuseSocket(socket: Socket, request: ClientRequest): void {
-    const guard = spoilGuards.get(socket);
-    if (guard !== undefined) socket.off("data", guard);
-    spoilGuards.delete(socket);
+    const listener = idleDataListeners.get(socket);
+    if (listener !== undefined) socket.off("data", listener);
+    idleDataListeners.delete(socket);
     super.reuseSocket(socket, request);
   }
 }
 
-const spoilGuards = new WeakMap<Socket, () => void>();
+const idleDataListeners = new WeakMap<Socket, () => void>();
--- a/packages/daemon/src/gateway/backend_attempt.ts
+++ b/packages/daemon/src/gateway/backend_attempt.ts
@@ -11,14 +11,14 @@
 import type { BackendAgent } from "./backend_agent.ts";
 
 /**
- * A connection that is not there after so long won't come: thirty times the
- * longest round trip between two hosts, and a full queue of a thin link. The
- * request can then still be in time elsewhere. A lost first packet is sent
- * again after a second only, which nobody waits for.
+ * A connection that is not established by then is given up, so that the request
+ * can still be in time elsewhere. The timeout is thirty times the longest round
+ * trip between two hosts and covers a full queue on a slow link. A lost SYN is
+ * retransmitted only after a second, which is too long to wait for.
  */
-const CONNECT_MILLISECONDS = 150;
+const CONNECT_TIMEOUT_MILLISECONDS = 150;
 
-/** The answer of another backend server than the one that was asked. */
+/** Sent by a backend server other than the one addressed. */
 const MISDIRECTED_STATUS = 421;
 
 type Options = {
@@ -28,14 +28,17 @@
   path: string;
   headers: string[];
   body: Buffer | undefined;
-  /** The attempt's id, which the answer has to bear. */
+  /** Id of the attempt; an answer with another id is rejected. */
   id: string;
   format: RequestFormat;
-  /** Told what the backend server itself says with its answer. */
-  noteFacts: (facts: AnswerFacts) => void;
+  /**
+   * Called with the facts in an answer's headers, unless a backend server other
+   * than the one addressed sent the answer.
+   */
+  onFacts: (facts: AnswerFacts) => void;
 };
 
-/** One sending of a request to one backend server. */
+/** One attempt to send a request to one backend server. */
 export class BackendAttempt {
   /** Settles once; never rejects. */
   readonly outcome: Promise<AttemptOutcome>;
@@ -43,7 +46,7 @@
   #request: ClientRequest;
   #isSent = false;
   #hasFailed = false;
-  #isGivenUp = false;
+  #isAborted = false;
   #settle!: (outcome: AttemptOutcome) => void;
   #connectTimer: NodeJS.Timeout | undefined;
 
@@ -61,8 +64,8 @@
       headers: headers as unknown as Record<string, string>,
       setHost: false,
     });
-    this.#request.on("socket", (socket) => this.#takeSocket(socket));
-    this.#request.on("response", (message) => this.#takeResponse(message));
+    this.#request.on("socket", (socket) => this.#handleSocket(socket));
+    this.#request.on("response", (message) => this.#handleResponse(message));
     this.#request.on("error", (error) => {
       this.#hasFailed = true;
       this.#fail(error.message);
@@ -72,45 +75,48 @@
     this.#request.end(body);
   }
 
-  /** Whether a byte of it may have reached the backend server. */
+  /** Whether a byte of the request may have reached the backend server. */
   get isSent(): boolean {
     return this.#isSent;
   }
 
   /**
    * Whether the connection failed. An answer without a length ends with its
-   * connection, and a reset ends it for the parser like a proper close: only
-   * this tells that it is not whole.
+   * connection, and the parser takes a reset for a regular close: only this
+   * property shows that such an answer is incomplete.
    */
   get hasFailed(): boolean {
     return this.#hasFailed;
   }
 
-  /** Whether this host ended it, not the backend server. */
-  get isGivenUp(): boolean {
-    return this.#isGivenUp;
+  /** Whether this host, not the backend server, ended the attempt. */
+  get isAborted(): boolean {
+    return this.#isAborted;
   }
 
-  /** Ends it; the connection goes, so that the backend server stops work. */
+  /**
+   * Ends the attempt and closes its connection, so that the backend server
+   * stops working on the request.
+   */
   abort(reason: string): void {
-    this.#isGivenUp = true;
+    this.#isAborted = true;
     this.#fail(reason);
     this.#request.destroy();
   }
 
-  #takeSocket(socket: NonNullable<ClientRequest["socket"]>): void {
-    this.#watchEnd(socket);
+  #handleSocket(socket: NonNullable<ClientRequest["socket"]>): void {
+    this.#detectReset(socket);
     if (!socket.connecting) {
       this.#isSent = true;
       return;
     }
-    // Where this process itself stood still, the timer is due ahead of the
-    // news that the connection is there: those are looked at first.
+    // If this process itself was stalled, the timer fires before the pending
+    // "connect" event is handled: let the event loop poll for it first.
     this.#connectTimer = setTimeout(() => {
       setImmediate(() => {
         if (socket.connecting) this.abort("no connection in time");
       });
-    }, CONNECT_MILLISECONDS);
+    }, CONNECT_TIMEOUT_MILLISECONDS);
     socket.once("connect", () => {
       clearTimeout(this.#connectTimer);
       this.#isSent = true;
@@ -118,22 +124,22 @@
   }
 
   /**
-   * Bytes and a reset that arrive together are read as bytes and a proper end;
-   * an answer without a length, cut in the middle, then looks whole. Only the
-   * connection's other end, which a reset takes away at once, still tells.
+   * Bytes and a reset that arrive together are read as bytes and a regular end,
+   * so that a truncated answer without a length looks whole. Only the remote
+   * address still shows the reset, which clears it at once.
    */
-  #watchEnd(socket: NonNullable<ClientRequest["socket"]>): void {
-    const noteReset = () => {
+  #detectReset(socket: NonNullable<ClientRequest["socket"]>): void {
+    const checkForReset = () => {
       if (socket.remoteAddress === undefined) this.#hasFailed = true;
     };
-    socket.prependListener("end", noteReset);
-    this.#request.once("close", () => socket.off("end", noteReset));
+    socket.prependListener("end", checkForReset);
+    this.#request.once("close", () => socket.off("end", checkForReset));
   }
 
-  #takeResponse(message: IncomingMessage): void {
-    const { format, id, noteFacts } = this.#options;
+  #handleResponse(message: IncomingMessage): void {
+    const { format, id, onFacts } = this.#options;
     const facts = format.readAnswer(message.headers);
-    if (message.statusCode !== MISDIRECTED_STATUS) noteFacts(facts);
+    if (message.statusCode !== MISDIRECTED_STATUS) onFacts(facts);
     message.on("error", () => undefined);
     if (facts.id !== undefined && facts.id !== id) {
       this.abort("the answer is another request's");
@@ -155,7 +161,7 @@
     clearTimeout(this.#connectTimer);
     this.#settle(
       this.#isSent
-        ? { kind: "broken", reason, isGivenUp: this.#isGivenUp }
+        ? { kind: "broken", reason, isAborted: this.#isAborted }
         : { kind: "not-run", reason, isUnreachable: true },
     );
   }
--- a/packages/daemon/src/gateway/backend_attempt_test.ts
+++ b/packages/daemon/src/gateway/backend_attempt_test.ts
@@ -26,7 +26,7 @@
   promisesNotRun: (status) => status === 503,
 };
 
-/** Sends one request to a backend server that does `answer`. */
+/** Sends one request to a backend server that handles it with `answer`. */
 async function attempt(answer: (socket: Socket) => void) {
   const server = createServer((socket) => {
     socket.on("error", () => undefined);
@@ -44,7 +44,7 @@
     body: undefined,
     id: "a1",
     format,
-    noteFacts: () => undefined,
+    onFacts: () => undefined,
   });
   const outcome = await sent.outcome;
   const body = outcome.kind === "answer"
@@ -55,9 +55,9 @@
   return { sent, outcome, body };
 }
 
-test("an answer without a length is whole only if its end is a proper one", async () => {
-  // Story: a backend server that sends no length crashes in the middle of its
-  // body. The reset must not pass for the end of the answer.
+test("an answer without a length is whole only if its connection ends regularly", async () => {
+  // A backend server that sends no length crashes in the middle of its body.
+  // The reset must not be taken for the end of the answer.
   const whole = await attempt((socket) => {
     socket.end(`${HEAD}\r\nall of it`);
   });
@@ -81,7 +81,7 @@
   assert.equal(body?.kind, "broken");
 });
 
-test("silence, nonsense and another's answer are all unknown", async () => {
+test("no answer, an invalid one and another request's leave the outcome unknown", async () => {
   const outcomes = [
     await attempt((socket) => socket.destroy()),
     await attempt((socket) => socket.end("nonsense\r\n\r\n")),
@@ -92,7 +92,7 @@
   for (const { outcome } of outcomes) assert.equal(outcome.kind, "broken");
 });
 
-test("only a refused connection or the backend server's word is not run", async () => {
+test("only a refused connection or the backend server's statement means not run", async () => {
   const said = await attempt((socket) =>
     socket.end(
       "HTTP/1.1 503 No\r\nNot-Run: 1\r\nId: a1\r\nContent-Length: 0\r\n\r\n",
@@ -113,7 +113,7 @@
     body: undefined,
     id: "a1",
     format,
-    noteFacts: () => undefined,
+    onFacts: () => undefined,
   });
   const outcome = await refused.outcome;
   assert.ok(outcome.kind === "not-run" && outcome.isUnreachable);
--- a/packages/daemon/src/gateway/backend_connections_test.ts
+++ b/packages/daemon/src/gateway/backend_connections_test.ts
@@ -6,10 +6,10 @@
 
 const ADDRESS = "127.0.0.1";
 
-test("an answer under way outlives its backend server's leaving", async () => {
-  // Story: a backend server says that it leaves, and is at once no address in
-  // use any more; it still ends the streams it has. They must not be cut by
-  // the clearing away of its connections.
+test("an answer in flight continues after its backend server leaves", async () => {
+  // A backend server announces that it leaves, and its address is no longer in
+  // use at once; it still finishes its streams. Closing its idle connections
+  // must not cut them off.
   let finish = () => {};
   const server = createServer((_request, response) => {
     response.write("first ");
@@ -22,21 +22,21 @@
   const message = await new Promise<IncomingMessage>((resolve) =>
     get({ host: ADDRESS, port, agent }, resolve)
   );
-  connections.keep(new Set());
+  connections.retainOnly(new Set());
   finish();
   let text = "";
   for await (const part of message) text += part;
   assert.equal(text, "first last");
-  connections.keep(new Set());
+  connections.retainOnly(new Set());
   assert.equal(agent.isUnused, true);
   connections.close();
   server.close();
   server.closeAllConnections();
 });
 
-test("bytes that come while nothing is asked end the connection", async () => {
-  // Story: a backend server sends a second answer behind a complete one. The
-  // next request on that connection must not get it as its own answer.
+test("bytes that arrive with no request in flight close the connection", async () => {
+  // A backend server sends a second answer after a complete one. The next
+  // request on that connection must not get it as its own answer.
   let connectionsMade = 0;
   const server = createServer((request, response) => {
     response.end(request.url);
--- a/packages/daemon/src/gateway/backend_pool.ts
+++ b/packages/daemon/src/gateway/backend_pool.ts
@@ -13,26 +13,29 @@
 import type { ControlFeed } from "./control_feed.ts";
 import type { NamedLimits } from "./named_limits.ts";
 
-/** From an agent's look at its engine to a gateway that hears of it. */
-const LOADS_AGE_MILLISECONDS = 100;
+/**
+ * Age of a load report on arrival: from an agent's reading of its engine to the
+ * gateway that receives it.
+ */
+const LOAD_REPORT_AGE_MILLISECONDS = 100;
 
-type Want = {
-  /** The request's. */
+type BackendQuery = {
+  /** Id of the client's attempt. */
   id: string;
-  /** Whether it will be sent there, and not only asked whether it could. */
-  forSending: boolean;
+  /** Whether the request is then sent; false only asks whether it could be. */
+  willSend: boolean;
   service: string;
   engine: EngineDefinition | undefined;
   model: string | undefined;
   promptTokens: number;
-  /** Instances that this request was sent to. */
+  /** Instances that the request was already sent to. */
   tried: ReadonlySet<string>;
-  /** Only weights of this version; undefined for any. */
+  /** Required version of the weights; undefined for any. */
   weightsVersion: number | undefined;
 };
 
-type Home = {
-  /** Of which it was picked. */
+type HomeSelection = {
+  /** Backend servers that `home` was picked from. */
   standings: readonly BackendStanding[];
   home: ReadonlySet<string>;
 };
@@ -42,33 +45,41 @@
   /** This host's own name. */
   host: string;
   dataCentre: string;
-  /** So long after a version is named no request may begin on an older one. */
+  /**
+   * Time after the naming of a version from which no request may begin on an
+   * older one.
+   */
   weightsBoundMilliseconds: number;
   namedLimits: NamedLimits;
-  /** Backend servers that were found to have ended. */
+  /** Emits backend servers whose process was found to have ended. */
   endedServers$: Observable<BackendStanding>;
 };
 
-/** The backend servers that requests can go to, with their records. */
+/** Chooses among the backend servers and keeps a record of each. */
 export class BackendPool {
   #options: Options;
   #records = new Map<string, BackendRecord>();
-  /** Start that each record is of, Unix milliseconds, by instance. */
+  /**
+   * When the process that a record describes started, Unix milliseconds, by
+   * instance.
+   */
   #bornAt = new Map<string, number>();
   #pressures = new Map<string, SlotPressure>();
-  #homes = new Map<string, Home>();
+  #homes = new Map<string, HomeSelection>();
 
   constructor(options: Options) {
     this.#options = options;
     options.feed.backends$.subscribe((changed) => {
-      for (const standing of changed) this.#dropPast(standing);
+      for (const standing of changed) this.#resetIfRestarted(standing);
     });
-    options.endedServers$.subscribe((standing) => this.#noteEnded(standing));
-    options.feed.loads$.subscribe((loads) => this.#takeLoads(loads));
+    options.endedServers$.subscribe((standing) => this.#ejectEnded(standing));
+    options.feed.loads$.subscribe((loads) => this.#applyLoads(loads));
   }
 
-  /** One that starts anew under its id has nothing of its past. */
-  #dropPast({ instance, state, bornAt }: BackendStanding): void {
+  /**
+   * Drops the record of an instance that is gone or was restarted under its id.
+   */
+  #resetIfRestarted({ instance, state, bornAt }: BackendStanding): void {
     const known = this.#bornAt.get(instance);
     const isNewStart = known !== undefined && known !== bornAt;
     if (state === "gone" || isNewStart) this.#records.delete(instance);
@@ -76,8 +87,11 @@
     else this.#bornAt.set(instance, bornAt);
   }
 
-  /** Its heartbeats are missed only seconds later. */
-  #noteEnded({ instance, bornAt }: BackendStanding): void {
+  /**
+   * Ejects a backend server at once when its process has ended: its missing
+   * heartbeats show only seconds later.
+   */
+  #ejectEnded({ instance, bornAt }: BackendStanding): void {
     if (this.#bornAt.get(instance) !== bornAt) return;
     this.recordOf(instance).leaveAside(monotonicMilliseconds());
   }
@@ -91,7 +105,7 @@
     return record;
   }
 
-  /** How often a service's requests find no free slot, as seen here. */
+  /** How often a service's requests find no free slot, as seen by this host. */
   pressureOf(service: string): SlotPressure {
     let pressure = this.#pressures.get(service);
     if (pressure === undefined) {
@@ -101,83 +115,93 @@
     return pressure;
   }
 
-  /** The best that may take the request; undefined when there is none. */
-  choose(want: Want): BackendChoice | undefined {
-    const usable = this.#usable(want);
+  /** Best eligible backend server for a request; undefined if there is none. */
+  choose(query: BackendQuery): BackendChoice | undefined {
+    const usable = this.#findUsable(query);
     noteUsualLoad(usable, monotonicMilliseconds());
-    const best = this.#best(usable, want);
+    const best = this.#chooseBest(usable, query);
     const isLimited = best !== undefined &&
       this.#options.namedLimits.isLimited(best.standing);
-    return isLimited ? this.#withinLimits(usable, want) : best;
+    return isLimited ? this.#chooseWithinLimits(usable, query) : best;
   }
 
-  /** Who has no room now is passed over for the next best. */
-  #withinLimits(
+  /**
+   * Best eligible backend server that has room now; those without are passed
+   * over.
+   */
+  #chooseWithinLimits(
     usable: BackendChoice[],
-    want: Want,
+    query: BackendQuery,
   ): BackendChoice | undefined {
     const { namedLimits } = this.#options;
-    let left = usable;
+    let remaining = usable;
     const passedOver: BackendChoice[] = [];
     while (true) {
-      const best = this.#best(left, want);
-      // One that was left aside is no place with room: better to be told when.
+      const best = this.#chooseBest(remaining, query);
+      // A backend server that is ejected, silent or on trial doesn't count as
+      // one with room: rather tell the client when a limited one has room.
       const isLastResort = passedOver.length > 0 && best !== undefined &&
         !best.record.isPromising(monotonicMilliseconds());
       if (isLastResort) return undefined;
       const isAdmitted = best === undefined ||
-        (want.forSending
-          ? namedLimits.admits(best.standing)
-          : namedLimits.mayAdmit(best.standing));
+        (query.willSend
+          ? namedLimits.requestAdmission(best.standing)
+          : namedLimits.hasCapacity(best.standing));
       if (isAdmitted) {
-        if (!want.forSending) return best;
+        if (!query.willSend) return best;
         for (const { standing } of passedOver) {
-          namedLimits.notePassedOver(want.id, standing, best?.standing);
+          namedLimits.logPassedOver(query.id, standing, best?.standing);
         }
         return best;
       }
       passedOver.push(best);
-      left = left.filter((choice) => choice !== best);
+      remaining = remaining.filter((choice) => choice !== best);
     }
   }
 
   /**
-   * When one of those that name a limit has room next, milliseconds from now;
-   * undefined when none that could take it names one.
+   * Milliseconds until one of the eligible backend servers that name a limit
+   * has room; undefined if none of them names one.
    */
-  untilRoom(want: Want): number | undefined {
+  millisecondsUntilCapacity(query: BackendQuery): number | undefined {
     const { namedLimits } = this.#options;
-    const waits = this.#usable(want)
+    const waits = this.#findUsable(query)
       .filter(({ standing }) => namedLimits.isLimited(standing))
-      .map(({ standing }) => namedLimits.untilRoom(standing));
+      .map(({ standing }) => namedLimits.millisecondsUntilCapacity(standing));
     return waits.length === 0 ? undefined : Math.min(...waits);
   }
 
-  #usable(want: Want): BackendChoice[] {
-    return this.#options.feed.backendsOf(want.service)
-      .filter((standing) => this.#mayTake(standing, want))
+  #findUsable(query: BackendQuery): BackendChoice[] {
+    return this.#options.feed.backendsOf(query.service)
+      .filter((standing) => this.#isEligible(standing, query))
       .map((standing) => ({
         standing,
         record: this.recordOf(standing.instance),
       }));
   }
 
-  #best(usable: BackendChoice[], want: Want): BackendChoice | undefined {
+  #chooseBest(
+    usable: BackendChoice[],
+    query: BackendQuery,
+  ): BackendChoice | undefined {
     const now = monotonicMilliseconds();
     const healthy = usable.filter(({ record }) => record.isPromising(now));
-    // With all of them aside, as where a service has three and a fault hits
-    // their zone, a try that may fail is worth more than a sure refusal.
+    // With all of them ejected, as when a service has three and a fault hits
+    // their zone, an attempt that may fail is better than a certain refusal.
     return chooseBackend(healthy.length > 0 ? healthy : usable, {
       dataCentre: this.#options.dataCentre,
-      promptTokens: want.promptTokens,
-      engine: want.engine,
-      home: this.#homeOf(want.service),
+      promptTokens: query.promptTokens,
+      engine: query.engine,
+      home: this.#homeOf(query.service),
       random: Math.random,
       now,
     });
   }
 
-  /** Picked anew only when the service's backend servers have changed. */
+  /**
+   * Instances that this host prefers; picked again only when the service's
+   * backend servers have changed.
+   */
   #homeOf(service: string): ReadonlySet<string> {
     const standings = this.#options.feed.backendsOf(service);
     const known = this.#homes.get(service);
@@ -187,29 +211,32 @@
     return home;
   }
 
-  #takeLoads(loads: EngineLoad[]): void {
+  #applyLoads(loads: EngineLoad[]): void {
     const now = monotonicMilliseconds();
     for (const { engineAddress, running, waiting } of loads) {
       const standing = this.#options.feed.backendAt(engineAddress);
       if (standing === undefined) continue;
       const report = { running, waiting, slots: standing.slots };
       const record = this.recordOf(standing.instance);
-      record.takeReport(report, now, LOADS_AGE_MILLISECONDS);
+      record.takeReport(report, now, LOAD_REPORT_AGE_MILLISECONDS);
     }
   }
 
-  #mayTake(standing: BackendStanding, want: Want): boolean {
-    if (standing.state !== "ready" || want.tried.has(standing.instance)) {
+  #isEligible(standing: BackendStanding, query: BackendQuery): boolean {
+    if (standing.state !== "ready" || query.tried.has(standing.instance)) {
       return false;
     }
     const notice = this.#options.feed.engineAt(standing.address);
     if (notice !== undefined && !notice.accepting) return false;
-    if (want.model === undefined) return true;
-    return this.#holds(standing, want.model, want.weightsVersion);
+    if (query.model === undefined) return true;
+    return this.#hasUsableWeights(standing, query.model, query.weightsVersion);
   }
 
-  /** An empty engine, or one that is loading, holds no whole model. */
-  #holds(
+  /**
+   * Whether a request may begin on the engine's weights. An engine that is
+   * empty or loading holds no complete model.
+   */
+  #hasUsableWeights(
     standing: BackendStanding,
     model: string,
     version: number | undefined,
@@ -217,26 +244,30 @@
     const held = this.#heldVersion(standing, model);
     if (held === undefined) return false;
     if (version !== undefined) return held === version;
-    const endsAt = this.#weightsEndAt(model, held);
+    const endsAt = this.#weightsExpireAt(model, held);
     return monotonicMilliseconds() < endsAt - weightsMargins.beginMilliseconds;
   }
 
   /**
-   * Until when a request may begin on what this engine holds; Infinity while
-   * no later version is named.
+   * Until when a request may begin on the engine's weights, monotonic
+   * milliseconds; Infinity while no later version is named.
    */
-  mayBeginUntil(standing: BackendStanding, model: string): number {
+  weightsUsableUntil(standing: BackendStanding, model: string): number {
     const held = this.#heldVersion(standing, model);
-    return held === undefined ? Infinity : this.#weightsEndAt(model, held);
+    return held === undefined ? Infinity : this.#weightsExpireAt(model, held);
   }
 
-  #weightsEndAt(model: string, held: number): number {
+  #weightsExpireAt(model: string, held: number): number {
     const { feed, weightsBoundMilliseconds } = this.#options;
     return feed.namedVersions.overtakenAt(model, held) +
       weightsBoundMilliseconds - weightsMargins.giveUpMilliseconds;
   }
 
-  /** The agent beside it knows sooner than the next heartbeat says. */
+  /**
+   * Version that the engine serves; undefined for none. A notice of the agent
+   * beside the engine about this start takes precedence: it comes sooner than
+   * the backend server's next heartbeat.
+   */
   #heldVersion(standing: BackendStanding, model: string): number | undefined {
     const notice = this.#options.feed.engineAt(standing.address);
     const isOfThisStart = notice !== undefined &&
--- a/packages/daemon/src/gateway/backend_pool_test.ts
+++ b/packages/daemon/src/gateway/backend_pool_test.ts
@@ -44,38 +44,40 @@
   return { pool, backends$, endedServers$ };
 }
 
-function isAside(pool: BackendPool): boolean {
+function isEjected(pool: BackendPool): boolean {
   return pool.recordOf(STANDING.instance).isAside(monotonicMilliseconds());
 }
 
-// Guards against sending on to a backend server that is known to have ended.
-test("one that ended is left aside until it starts anew", () => {
+// Guards against sending more requests to a backend server that is known to
+// have ended.
+test("a backend server that ended is ejected until it restarts", () => {
   const { pool, backends$, endedServers$ } = openPool();
   endedServers$.next(STANDING);
-  assert.equal(isAside(pool), true);
+  assert.equal(isEjected(pool), true);
   backends$.next([{ ...STANDING, bornAt: 5_000 }]);
-  assert.equal(isAside(pool), false);
+  assert.equal(isEjected(pool), false);
 });
 
-// Guards against news of an end that come behind the next start.
-test("an end that is heard of late does not touch the next start", () => {
+// Guards against late news of an end, received after the next start.
+test("late news of an end does not eject the next start", () => {
   const { pool, backends$, endedServers$ } = openPool();
   backends$.next([{ ...STANDING, bornAt: 5_000 }]);
   endedServers$.next(STANDING);
-  assert.equal(isAside(pool), false);
+  assert.equal(isEjected(pool), false);
 });
 
-// Guards against a try that is likely to fail where a time could be named.
-test("with the sound one at its limit, one left aside is not tried", () => {
+// Guards against an attempt that is likely to fail where the client could be
+// told when to retry.
+test("with the only healthy one at its limit, an ejected one is not tried", () => {
   const { pool, endedServers$ } = openPool({
     isLimited: ({ instance }: BackendStanding) => instance === "one",
-    mayAdmit: ({ instance }: BackendStanding) => instance !== "one",
-    untilRoom: () => 400,
+    hasCapacity: ({ instance }: BackendStanding) => instance !== "one",
+    millisecondsUntilCapacity: () => 400,
   });
   endedServers$.next(OTHER);
-  const want = {
+  const query = {
     id: "a",
-    forSending: false,
+    willSend: false,
     service: "ledger",
     engine: undefined,
     model: undefined,
@@ -83,6 +85,6 @@
     tried: new Set<string>(),
     weightsVersion: undefined,
   };
-  assert.equal(pool.choose(want), undefined);
-  assert.equal(pool.untilRoom(want), 400);
+  assert.equal(pool.choose(query), undefined);
+  assert.equal(pool.millisecondsUntilCapacity(query), 400);
 });
--- a/packages/daemon/src/gateway/call_end.ts
+++ b/packages/daemon/src/gateway/call_end.ts
@@ -1,8 +1,8 @@
 /** How a request ended, for its log line. */
 export type CallEnd = {
   status: number;
-  /** In a few words, what decided it. */
+  /** Short description of what ended the request, for the log. */
   reason: string;
-  /** Whether a backend server may have worked on it. */
+  /** Whether a backend server may have run the request. */
   outcome: "answered" | "not-run" | "unknown" | "client-left";
 };
--- a/packages/daemon/src/gateway/call_ending.ts
+++ b/packages/daemon/src/gateway/call_ending.ts
@@ -1,29 +1,29 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
-import type { AnswerPasser } from "./answer_passer.ts";
+import type { AnswerForwarder } from "./answer_forwarder.ts";
 import type { CallEnd } from "./call_end.ts";
 import type { CallRefusal } from "./call_refusal.ts";
 import type { CallRouting } from "./call_routing.ts";
 import type { CallSender } from "./call_sender.ts";
-import type { GatewayWorld } from "./gateway_world.ts";
+import type { GatewayContext } from "./gateway_context.ts";
 import { refuseCall } from "./refuse_call.ts";
 
 type Options = {
-  world: GatewayWorld;
+  context: GatewayContext;
   request: IncomingMessage;
   response: ServerResponse;
 };
 
-/** What is known of the request when it ends. */
-type Ended = {
+/** An admitted request that ends. */
+type EndedCall = {
   call: AdmittedCall;
   sender: CallSender;
-  passer: AnswerPasser;
+  forwarder: AnswerForwarder;
   routing: CallRouting;
 };
 
-/** Ends one client's request: its last answer, its log line, its counts. */
+/** Ends one client request: sends its refusal, logs it and counts it. */
 export class CallEnding {
   #options: Options;
   #isOver = false;
@@ -37,17 +37,23 @@
     return this.#isOver;
   }
 
-  /** Calls `giveUp` when the request's time is over, if it is not ended. */
-  startTimer(milliseconds: number, giveUp: () => void): void {
-    this.#timer = setTimeout(giveUp, Math.max(0, milliseconds));
+  /**
+   * Calls `onTimeout` after `milliseconds`, unless the request has ended by
+   * then.
+   */
+  startTimer(milliseconds: number, onTimeout: () => void): void {
+    this.#timer = setTimeout(onTimeout, Math.max(0, milliseconds));
   }
 
-  /** The final answer, at once; an answer that began is broken off. */
-  refuse(ended: Ended | undefined, refusal: CallRefusal): void {
+  /**
+   * Sends a refusal as the final answer; an answer that has begun is cut off
+   * instead.
+   */
+  refuse(ended: EndedCall | undefined, refusal: CallRefusal): void {
     if (this.#isOver) return;
     const { status, reason } = refusal;
-    const { world, request, response } = this.#options;
-    const { format, isStopping } = world;
+    const { context, request, response } = this.#options;
+    const { format, isStopping } = context;
     if (response.headersSent) response.destroy();
     else {
       refuseCall(response, refusal, { closes: isStopping() });
@@ -58,24 +64,24 @@
     this.finish(ended, { status, reason, outcome });
   }
 
-  finish(ended: Ended | undefined, end: CallEnd): void {
+  finish(ended: EndedCall | undefined, end: CallEnd): void {
     this.#isOver = true;
     clearTimeout(this.#timer);
-    const { world, request } = this.#options;
-    const { counted, feed, format, log } = world;
+    const { context, request } = this.#options;
+    const { metrics, feed, format, log } = context;
     const call = ended?.call;
     const forecast = ended?.routing.placement?.forecast;
     const firstEvent = ended && firstEventMilliseconds(ended);
     const kind = call?.route.kind ?? "none";
     const milliseconds = call && monotonicMilliseconds() - call.startedAt;
-    counted.requests.inc({ kind, outcome: end.outcome });
+    metrics.requests.inc({ kind, outcome: end.outcome });
     if (milliseconds !== undefined) {
-      counted.requestMilliseconds.observe({ kind }, milliseconds);
+      metrics.requestMilliseconds.observe({ kind }, milliseconds);
     }
     if (forecast !== undefined && firstEvent !== undefined) {
       const placement = ended!.routing.placement!.kind;
       const error = firstEvent - forecast.milliseconds;
-      counted.forecastErrorMilliseconds.observe({ placement }, error);
+      metrics.forecastErrorMilliseconds.observe({ placement }, error);
     }
     log.info("request-ended", {
       id: call?.id ?? format.readRequest(request.headers).id,
@@ -89,7 +95,7 @@
       expected_reading: forecast && Math.round(forecast.readingMilliseconds),
       requests_there: forecast && Math.round(forecast.requests),
       first_event_milliseconds: firstEvent && Math.round(firstEvent),
-      spent_before: call && Math.round(call.spentBefore),
+      spent_before: call && Math.round(call.spentBeforeMilliseconds),
       status: end.status,
       outcome: end.outcome,
       reason: end.reason,
@@ -100,13 +106,14 @@
 }
 
 /**
- * From its last placing to the first event; undefined without one, and where
- * another backend server goes on with a stream that had begun.
+ * Milliseconds from the last placement to the first event. Undefined without an
+ * event, without a forecast, and where another backend server resumes a stream
+ * that had begun.
  */
 function firstEventMilliseconds(
-  { passer, routing }: Ended,
+  { forwarder, routing }: EndedCall,
 ): number | undefined {
-  const { firstEventAt } = passer;
+  const { firstEventAt } = forwarder;
   const { placement } = routing;
   if (firstEventAt === undefined || placement?.forecast === undefined) return;
   return firstEventAt - placement.placedAt;
--- a/packages/daemon/src/gateway/call_refusal.ts
+++ b/packages/daemon/src/gateway/call_refusal.ts
@@ -1,7 +1,9 @@
-/** An answer of the system's own, instead of a backend server's. */
+/**
+ * A refusal sent by the gateway itself, in place of a backend server's answer.
+ */
 export type CallRefusal = {
   status: number;
   reason: string;
-  /** When to come back; undefined where that would not help. */
+  /** Delay until the client should retry; undefined if that would not help. */
   retryAfterMilliseconds?: number;
 };
--- a/packages/daemon/src/gateway/call_routing.ts
+++ b/packages/daemon/src/gateway/call_routing.ts
@@ -3,22 +3,28 @@
 import type { Placement } from "@teaselrouter/core/gateway/placement.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
-import type { AnswerPasser } from "./answer_passer.ts";
-import type { GatewayWorld } from "./gateway_world.ts";
+import type { AnswerForwarder } from "./answer_forwarder.ts";
+import type { GatewayContext } from "./gateway_context.ts";
 
 type Options = {
-  world: GatewayWorld;
+  context: GatewayContext;
   call: AdmittedCall;
-  passer: AnswerPasser;
-  /** Instances that it was sent to. */
+  forwarder: AnswerForwarder;
+  /** Instances that the request was already sent to. */
   tried: ReadonlySet<string>;
 };
 
-/** Where one request may go, and whether it may go there once more. */
+/**
+ * Chooses backend servers for one request and decides whether the request may
+ * be sent again after a failure.
+ */
 export class CallRouting {
-  /** How it was last placed; undefined before that. */
+  /** Result of the latest `place` call; undefined before the first. */
   placement: Placement | undefined;
-  /** Weights that it began on; undefined before that. */
+  /**
+   * Version of the weights that the request's answer began on; undefined before
+   * the first answer that names one. Later attempts must get the same.
+   */
   weightsVersion: number | undefined;
   #options: Options;
 
@@ -26,23 +32,28 @@
     this.#options = options;
   }
 
-  /** For a request that is to be sent there now. */
+  /**
+   * Chooses the backend server for an attempt that is sent now; undefined if
+   * none is eligible.
+   */
   choose(): BackendChoice | undefined {
-    return this.#options.world.pool.choose(this.#want({ forSending: true }));
+    return this.#options.context.pool.choose(
+      this.#query({ willSend: true }),
+    );
   }
 
-  /** When a backend server that names a limit has room; see the pool. */
-  untilRoom(): number | undefined {
-    return this.#options.world.pool.untilRoom(
-      this.#want({ forSending: false }),
+  /** See `BackendPool.millisecondsUntilCapacity`. */
+  millisecondsUntilCapacity(): number | undefined {
+    return this.#options.context.pool.millisecondsUntilCapacity(
+      this.#query({ willSend: false }),
     );
   }
 
-  #want({ forSending }: { forSending: boolean }) {
+  #query({ willSend }: { willSend: boolean }) {
     const { call, tried } = this.#options;
     return {
       id: call.id,
-      forSending,
+      willSend,
       service: call.service.name,
       engine: call.service.engine,
       model: call.facts.model,
@@ -52,16 +63,20 @@
     };
   }
 
-  /** A stream that has begun goes on at once: its client is waiting. */
+  /**
+   * Decides whether the request can be in time on the chosen backend server,
+   * and records the result. Always "timely" for services without an engine, and
+   * for an answer that has begun: its client is waiting for the rest.
+   */
   place(choice: BackendChoice): Placement {
-    const { world, call, passer, tried } = this.#options;
+    const { context, call, forwarder, tried } = this.#options;
     const { engine, name } = call.service;
     const now = monotonicMilliseconds();
-    if (engine === undefined || passer.hasBegun) {
+    if (engine === undefined || forwarder.hasBegun) {
       this.placement = { kind: "timely", forecast: undefined, placedAt: now };
       return this.placement;
     }
-    const pressure = world.pool.pressureOf(name);
+    const pressure = context.pool.pressureOf(name);
     const placement = decidePlacement(choice, {
       engine,
       promptTokens: call.facts.promptTokens,
@@ -69,42 +84,51 @@
       slotPressure: pressure.share,
       now,
     });
-    if (call.spentBefore === 0) {
+    if (call.spentBeforeMilliseconds === 0) {
       const isFull = placement.forecast!.requests >= choice.standing.slots;
       pressure.note(isFull);
     }
-    // A backend server failed it: to refuse it now would promise nothing, and
-    // lose an answer that its client has waited for.
-    const isSentBefore = tried.size > 0;
-    this.placement = placement.kind === "refused" && isSentBefore
+    // After a failed attempt the request may have run: a refusal could not
+    // promise the client that it has not, and would lose an answer that the
+    // client has waited for.
+    const wasTriedBefore = tried.size > 0;
+    this.placement = placement.kind === "refused" && wasTriedBefore
       ? { ...placement, kind: "late" }
       : placement;
     return this.placement;
   }
 
-  /** Whether it may run again: a stream only behind an event with an id. */
-  get mayRepeat(): boolean {
-    const { call, passer } = this.#options;
+  /**
+   * Whether the request may run again: a safe one until its answer has begun, a
+   * resumable stream before its first event and after any event with an id.
+   */
+  get isRetryable(): boolean {
+    const { call, forwarder } = this.#options;
     const { kind, resumable } = call.route;
-    if (kind === "safe") return !passer.hasBegun;
-    return kind === "stream" && resumable && passer.canBeGoneOnWith;
+    if (kind === "safe") return !forwarder.hasBegun;
+    return kind === "stream" && resumable && forwarder.canResume;
   }
 
-  /** Takes one of the extra sends that all requests share, if there is one. */
-  trySendAgain(): boolean {
-    const { world, call } = this.#options;
-    return this.#hasSendsLeft && world.crashes.maySendAgain(call) &&
-      world.retries.trySpend();
+  /**
+   * Spends one retry of the budget that all requests share. False if none is
+   * left or this request may not be sent again.
+   */
+  trySpendRetry(): boolean {
+    const { context, call } = this.#options;
+    return this.#hasAttemptsLeft && context.crashes.mayRetry(call) &&
+      context.retries.trySpend();
   }
 
-  /** Whether a failure of the backend server can be made good by another. */
-  canTryElsewhere(): boolean {
-    return this.mayRepeat && this.#hasSendsLeft &&
-      this.#options.world.pool.choose(this.#want({ forSending: false })) !==
+  /** Whether another backend server can take over if this one fails. */
+  canFailOver(): boolean {
+    return this.isRetryable && this.#hasAttemptsLeft &&
+      this.#options.context.pool.choose(
+          this.#query({ willSend: false }),
+        ) !==
         undefined;
   }
 
-  get #hasSendsLeft(): boolean {
+  get #hasAttemptsLeft(): boolean {
     const { call, tried } = this.#options;
     return tried.size < call.route.maxBackends;
   }
--- a/packages/daemon/src/gateway/call_routing_test.ts
+++ b/packages/daemon/src/gateway/call_routing_test.ts
@@ -5,9 +5,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { AdmittedCall } from "./admitted_call.ts";
-import type { AnswerPasser } from "./answer_passer.ts";
+import type { AnswerForwarder } from "./answer_forwarder.ts";
 import { CallRouting } from "./call_routing.ts";
-import type { GatewayWorld } from "./gateway_world.ts";
+import type { GatewayContext } from "./gateway_context.ts";
 
 const SLOTS = 16;
 const ENGINE: EngineDefinition = {
@@ -24,31 +24,32 @@
   reportLagMilliseconds: 200,
 };
 
-/** A request whose time to be in time is over, before full engines. */
+/** Places a request that is late already, with all engines full. */
 function place(tried: string[]): string {
   const record = new BackendRecord();
   record.inFlight = SLOTS + 9;
   const choice = { record, standing: { slots: SLOTS } } as BackendChoice;
   const routing = new CallRouting({
-    world: {
+    context: {
       pool: { pressureOf: () => new SlotPressure() },
-    } as unknown as GatewayWorld,
+    } as unknown as GatewayContext,
     call: {
       service: { name: "s", engine: ENGINE },
       facts: { promptTokens: 900 },
       lateAt: 0,
-      spentBefore: 0,
+      spentBeforeMilliseconds: 0,
     } as AdmittedCall,
-    passer: { hasBegun: false } as AnswerPasser,
+    forwarder: { hasBegun: false } as AnswerForwarder,
     tried: new Set(tried),
   });
   return routing.place(choice).kind;
 }
 
-// Story: a data centre is cut off while an engine there works on a stream. The
-// gateway leaves it after 0.7 s of silence, and the engines that are left are
-// full. The client, told that nobody knows whether it ran, lost its answer.
-test("a request that its backend server failed is not refused for room", () => {
+// A data centre is cut off while an engine there works on a stream. The gateway
+// aborts the attempt after 0.7 s of silence, and the remaining engines are
+// full. A refusal then could not say whether the request ran, and the client
+// lost its answer.
+test("a request is not refused for lack of room after a failed attempt", () => {
   assert.equal(place([]), "refused");
   assert.equal(place(["i-1"]), "late");
 });
--- a/packages/daemon/src/gateway/call_sender.ts
+++ b/packages/daemon/src/gateway/call_sender.ts
@@ -5,35 +5,43 @@
 import type { AdmittedCall } from "./admitted_call.ts";
 import type { AttemptOutcome } from "./attempt_outcome.ts";
 import { BackendAttempt } from "./backend_attempt.ts";
-import type { GatewayWorld } from "./gateway_world.ts";
+import type { GatewayContext } from "./gateway_context.ts";
 
-/** How it is sent, and where a stream goes on that another began. */
-type Sending = {
+/**
+ * Placement of an attempt, and where it resumes a stream that another backend
+ * server began.
+ */
+type SendOptions = {
   weightsVersion: number | undefined;
   resumesAfter: string | undefined;
   placement: Placement;
 };
 
-/** Late requests go behind all that are in time, and keep their own order. */
-const LATE_RANKS = 5;
-const LAST_RANK = 9;
+/**
+ * Added to the rank of late requests, so that those of ranks 0 to 4 queue
+ * behind all of these ranks that are in time and keep their own order.
+ */
+const LATE_RANK_OFFSET = 5;
+const MAX_RANK = 9;
 
-/** Sends one request to backend servers, and remembers to which. */
+/** Sends one request to backend servers and keeps track of those tried. */
 export class CallSender {
-  /** Instances that it was sent to. */
+  /** Instances that the request was sent to. */
   readonly tried = new Set<string>();
-  #world: GatewayWorld;
+  #context: GatewayContext;
   #call: AdmittedCall;
   #attempt: BackendAttempt | undefined;
-  /** When the latest sending began, monotonic milliseconds. */
+  /** When the latest attempt began, monotonic milliseconds. */
   sentAt = -Infinity;
 
-  constructor(world: GatewayWorld, call: AdmittedCall) {
-    this.#world = world;
+  constructor(context: GatewayContext, call: AdmittedCall) {
+    this.#context = context;
     this.#call = call;
   }
 
-  /** Whether a byte of it may have reached the latest backend server. */
+  /**
+   * Whether a byte of the request may have reached the latest backend server.
+   */
   get isSent(): boolean {
     return this.#attempt?.isSent ?? false;
   }
@@ -43,39 +51,43 @@
     return this.#attempt?.hasFailed ?? false;
   }
 
-  /** Whether this host ended the latest sending, not the backend server. */
-  get isGivenUp(): boolean {
-    return this.#attempt?.isGivenUp ?? false;
+  /** Whether this host, not the backend server, ended the latest attempt. */
+  get isAborted(): boolean {
+    return this.#attempt?.isAborted ?? false;
   }
 
   abort(reason: string): void {
     this.#attempt?.abort(reason);
   }
 
-  /** Never rejects. The backend server's record counts what becomes of it. */
+  /**
+   * Sends the request to `choice` and keeps that backend server's record. An
+   * answer stays counted as in flight: the caller takes it off at its end.
+   * Never rejects.
+   */
   async send(
     choice: BackendChoice,
-    sending: Sending,
+    options: SendOptions,
   ): Promise<AttemptOutcome> {
     const { standing, record } = choice;
     const { promptTokens } = this.#call.facts;
     const sentAt = monotonicMilliseconds();
     this.sentAt = sentAt;
     this.tried.add(standing.instance);
-    this.#world.namedLimits.take(standing);
+    this.#context.namedLimits.countSend(standing);
     record.noteSend(sentAt);
     record.inFlight += 1;
-    const timely = sending.placement.kind === "timely" ? 1 : 0;
+    const timelyCount = options.placement.kind === "timely" ? 1 : 0;
     record.unreadTokens += promptTokens;
-    record.timelyUnread += timely;
-    const attempt = this.#open(choice, sending);
+    record.timelyUnread += timelyCount;
+    const attempt = this.#openAttempt(choice, options);
     this.#attempt = attempt;
-    const endWait = this.#boundWait(choice, attempt);
+    const cancelWeightsTimer = this.#abortWhenWeightsExpire(choice, attempt);
     const outcome = await attempt.outcome;
-    endWait();
+    cancelWeightsTimer();
     record.unreadTokens -= promptTokens;
-    record.timelyUnread -= timely;
-    if (outcome.kind === "answer") this.#listen(record, outcome, sentAt);
+    record.timelyUnread -= timelyCount;
+    if (outcome.kind === "answer") this.#trackLiveness(record, outcome, sentAt);
     else record.inFlight -= 1;
     return outcome;
   }
@@ -85,7 +97,7 @@
     { standing, record }: BackendChoice,
     outcome: Exclude<AttemptOutcome, { kind: "answer" }>,
   ): void {
-    const { log } = this.#world;
+    const { log } = this.#context;
     log.info("send-failed", {
       id: this.#call.id,
       instance: standing.instance,
@@ -95,10 +107,10 @@
     });
     const now = monotonicMilliseconds();
     const isUnreachable = outcome.kind === "not-run" && outcome.isUnreachable;
-    const isAside = isUnreachable
+    const isEjected = isUnreachable
       ? record.leaveAside(now)
       : outcome.kind === "broken" && record.countFailure(now);
-    if (!isAside) return;
+    if (!isEjected) return;
     log.warn("backend-server-aside", {
       instance: standing.instance,
       address: standing.address,
@@ -106,8 +118,11 @@
     });
   }
 
-  /** All that comes of an answer shows that its backend server is there. */
-  #listen(
+  /**
+   * Records the time to the answer's head, and each part of the answer as a
+   * sign that its backend server is alive.
+   */
+  #trackLiveness(
     record: BackendRecord,
     { message }: Extract<AttemptOutcome, { kind: "answer" }>,
     sentAt: number,
@@ -118,13 +133,13 @@
     message.on("data", () => record.noteHeard(monotonicMilliseconds()));
   }
 
-  #open(
+  #openAttempt(
     { standing }: BackendChoice,
-    { weightsVersion, resumesAfter, placement }: Sending,
+    { weightsVersion, resumesAfter, placement }: SendOptions,
   ): BackendAttempt {
-    const { connections, format, namedLimits } = this.#world;
+    const { connections, format, namedLimits } = this.#context;
     const call = this.#call;
-    const left = Math.floor(call.endsAt - monotonicMilliseconds());
+    const left = Math.floor(call.deadlineAt - monotonicMilliseconds());
     return new BackendAttempt({
       address: standing.address,
       agent: connections.agentFor(standing.address),
@@ -133,7 +148,7 @@
       body: call.body,
       id: call.id,
       format,
-      noteFacts: (facts) => namedLimits.hear(standing, facts),
+      onFacts: (facts) => namedLimits.noteAnswer(standing, facts),
       headers: format.forwardHeaders(call.rawHeaders, {
         weightsVersion,
         resumesAfter,
@@ -141,20 +156,24 @@
         instance: standing.instance,
         workspace: call.workspace,
         rank: placement.kind === "late"
-          ? Math.min(LAST_RANK, call.rank + LATE_RANKS)
+          ? Math.min(MAX_RANK, call.rank + LATE_RANK_OFFSET)
           : call.rank,
       }),
     });
   }
 
-  /** One that waits in an engine's queue must not begin on weights too old. */
-  #boundWait(
+  /**
+   * Aborts an attempt that has no answer when the engine's weights become too
+   * old: a request waiting in the engine's queue must not begin on them.
+   * Returns a function that stops the timer.
+   */
+  #abortWhenWeightsExpire(
     { standing }: BackendChoice,
     attempt: BackendAttempt,
   ): () => void {
     const { model } = this.#call.facts;
     if (model === undefined) return () => {};
-    const until = this.#world.pool.mayBeginUntil(standing, model);
+    const until = this.#context.pool.weightsUsableUntil(standing, model);
     if (until === Infinity) return () => {};
     const timer = setTimeout(
       () => attempt.abort("its weights are too old to begin on"),
--- a/packages/daemon/src/gateway/collect_answer.ts
+++ b/packages/daemon/src/gateway/collect_answer.ts
@@ -3,40 +3,42 @@
 
 type Collected =
   | { kind: "whole"; bytes: Buffer }
-  /** More than is collected: the rest is still to come, and paused. */
+  /**
+   * More than is buffered: the rest is still to come, and the message paused.
+   */
   | { kind: "large"; bytes: Buffer }
   | { kind: "broken" };
 
-/** Reads an answer to its end, or to `mostBytes` of it. */
+/** Buffers an answer to its end, or until it exceeds `maxBytes`. */
 export function collectAnswer(
   message: IncomingMessage,
-  mostBytes: number,
+  maxBytes: number,
 ): Promise<Collected> {
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
     let bytes = 0;
     const settle = (collected: Collected) => {
-      message.off("data", take);
-      message.off("end", end);
-      message.off("close", broken);
+      message.off("data", onData);
+      message.off("end", onEnd);
+      message.off("close", onClose);
       resolve(collected);
     };
-    const broken = () => settle({ kind: "broken" });
-    const end = () =>
+    const onClose = () => settle({ kind: "broken" });
+    const onEnd = () =>
       settle(
         message.complete
           ? { kind: "whole", bytes: Buffer.concat(parts) }
           : { kind: "broken" },
       );
-    const take = (part: Buffer) => {
+    const onData = (part: Buffer) => {
       parts.push(part);
       bytes += part.length;
-      if (bytes <= mostBytes) return;
+      if (bytes <= maxBytes) return;
       message.pause();
       settle({ kind: "large", bytes: Buffer.concat(parts) });
     };
-    message.on("data", take);
-    message.once("end", end);
-    message.once("close", broken);
+    message.on("data", onData);
+    message.once("end", onEnd);
+    message.once("close", onClose);
   });
 }
--- a/packages/daemon/src/gateway/control_feed.ts
+++ b/packages/daemon/src/gateway/control_feed.ts
@@ -27,98 +27,107 @@
 };
 
 type Options = {
-  follows: FollowSet;
+  followSet: FollowSet;
   decodeRouting: RoutingDecoder;
   log: EventLog;
 };
 
-/** All that a gateway believes, as the control hosts told it. */
+/** State that the gateway has received from the control hosts. */
 export class ControlFeed {
   readonly backends$ = new Subject<BackendStanding[]>();
-  /** What agents beside engines saw of their load. */
+  /** Load of the engines, as read by the agents beside them. */
   readonly loads$ = new Subject<EngineLoad[]>();
-  /** Which requests end what runs them. */
+  /** Requests that crash the backend servers that run them. */
   readonly crashes$ = new Subject<CrashNews>();
-  /** What this host may send to backend servers in need. */
+  /** This host's parts of the limits that backend servers name. */
   readonly limits$ = new Subject<LimitNews>();
-  /** Anything at all was heard. */
-  readonly news$ = new Subject<void>();
+  /** Emits after every update except engine loads. */
+  readonly updates$ = new Subject<void>();
   #options: Options;
   #table: RouteTable | undefined;
   #configuredAt: number | undefined;
   #hasBackends = false;
   #registry = new BackendRegistry({
-    // Control hosts say who is gone; alone, what was known goes on.
+    // Control hosts report which backend servers are gone. A gateway cut off
+    // from them goes on with those last known.
     silentMilliseconds: Infinity,
     forgetMilliseconds: FORGET_MILLISECONDS,
   });
   #lookup: BackendLookup | undefined;
   #engines = new Map<string, EngineNotice>();
-  /** Which versions of weights operators named, and when. */
+  /** Versions of weights that operators named, and when. */
   readonly namedVersions = new NamedVersions();
 
   constructor(options: Options) {
     this.#options = options;
-    options.follows.updates$.subscribe(({ update }) => {
-      this.#take(update);
-      if (update.body.case !== "loads") this.news$.next();
+    options.followSet.updates$.subscribe(({ update }) => {
+      this.#applyUpdate(update);
+      if (update.body.case !== "loads") this.updates$.next();
     });
   }
 
-  /** The newest configuration heard of; undefined before the first. */
+  /** Latest configuration received; undefined before the first. */
   get table(): RouteTable | undefined {
     return this.#table;
   }
 
-  /** When the first was heard of; undefined before. */
+  /**
+   * When the first configuration was received, monotonic milliseconds;
+   * undefined before.
+   */
   get configuredAt(): number | undefined {
     return this.#configuredAt;
   }
 
-  /** Whether requests can be placed at all. */
+  /**
+   * Whether the configuration and a full list of backend servers are known, so
+   * that requests can be routed.
+   */
   get isComplete(): boolean {
     return this.#table !== undefined && this.#hasBackends;
   }
 
   backendsOf(service: string): readonly BackendStanding[] {
-    return this.#lookUp().byService.get(service) ?? [];
+    return this.#currentLookup().byService.get(service) ?? [];
   }
 
   backendAt(address: string): BackendStanding | undefined {
-    return this.#lookUp().byAddress.get(address);
+    return this.#currentLookup().byAddress.get(address);
   }
 
   liveAddresses(): Set<string> {
-    return new Set(this.#lookUp().byAddress.keys());
+    return new Set(this.#currentLookup().byAddress.keys());
   }
 
-  /** What the agent beside an engine said last; undefined without one. */
+  /**
+   * Latest notice of the agent beside an engine; undefined without an agent.
+   */
   engineAt(address: string): EngineNotice | undefined {
     return this.#engines.get(address);
   }
 
-  forget(): void {
+  expire(): void {
     this.#registry.expire(monotonicMilliseconds());
   }
 
-  /** Made anew only when what is live has changed. */
-  #lookUp(): BackendLookup {
+  /** Index of the live backend servers, rebuilt only when they have changed. */
+  #currentLookup(): BackendLookup {
     const live = this.#registry.live();
     if (this.#lookup?.live !== live) this.#lookup = indexBackends(live);
     return this.#lookup;
   }
 
-  #take({ body }: ControlUpdate): void {
+  #applyUpdate({ body }: ControlUpdate): void {
     switch (body.case) {
       case "routing":
-        return this.#takeRouting(body.value);
+        return this.#applyRouting(body.value);
       case "backends":
         if (body.value.whole) this.#hasBackends = true;
-        return this.#takeBackends(body.value.backends.map(decodeBackend));
+        return this.#applyBackends(body.value.backends.map(decodeBackend));
       case "weights":
-        return this.#takeNamed(body.value);
+        return this.#applyNamedWeights(body.value);
       case "engines":
-        for (const notice of body.value.notices) this.#takeEngine(notice);
+        for (const notice of body.value.notices) this.#applyNotice(notice);
         return;
       case "crashes":
         return this.crashes$.next(body.value);
@@ -129,11 +138,11 @@
     }
   }
 
-  /** Control hosts may lag: only a later version replaces what stands. */
-  #takeRouting({ version, document }: RoutingDocument): void {
+  /** Only a later version replaces the current one: control hosts may lag. */
+  #applyRouting({ version, document }: RoutingDocument): void {
     const { decodeRouting, log } = this.#options;
-    const standing = this.#table?.configuration.version ?? -1;
-    if (version <= standing) return;
+    const currentVersion = this.#table?.configuration.version ?? -1;
+    if (version <= currentVersion) return;
     const decoded = decodeRouting(new TextDecoder().decode(document));
     if (decoded.isErr) {
       return log.error("routing-unreadable", {
@@ -143,10 +152,10 @@
     }
     this.#table = new RouteTable(decoded.value);
     this.#configuredAt ??= monotonicMilliseconds();
-    log.info("routing-in-force", { version, before: standing });
+    log.info("routing-in-force", { version, before: currentVersion });
   }
 
-  #takeBackends(standings: BackendStanding[]): void {
+  #applyBackends(standings: BackendStanding[]): void {
     const now = monotonicMilliseconds();
     const changed = standings.flatMap((standing) =>
       this.#registry.take(standing, now)
@@ -163,7 +172,7 @@
     this.backends$.next(changed);
   }
 
-  #takeNamed({ model, version, ageMilliseconds }: NamedWeights): void {
+  #applyNamedWeights({ model, version, ageMilliseconds }: NamedWeights): void {
     const namedAt = monotonicMilliseconds() - ageMilliseconds;
     if (!this.namedVersions.add(model, { version, namedAt })) return;
     this.#options.log.info("weights-named", {
@@ -173,15 +182,15 @@
     });
   }
 
-  #takeEngine(notice: EngineNotice): void {
+  #applyNotice(notice: EngineNotice): void {
     const known = this.#engines.get(notice.engineAddress);
     if (known !== undefined && known.sequence > notice.sequence) return;
     if (notice.agentGone) {
       return void this.#engines.delete(notice.engineAddress);
     }
     this.#engines.set(notice.engineAddress, notice);
-    // Every control host that is followed tells the same.
-    if (known !== undefined && saysTheSame(known, notice)) return;
+    // Every followed control host sends the same notice: log it once.
+    if (known !== undefined && isSameNotice(known, notice)) return;
     this.#options.log.info("engine-notice", {
       address: notice.engineAddress,
       accepting: notice.accepting,
@@ -190,7 +199,7 @@
   }
 }
 
-function saysTheSame(left: EngineNotice, right: EngineNotice): boolean {
+function isSameNotice(left: EngineNotice, right: EngineNotice): boolean {
   return left.accepting === right.accepting &&
     left.servingVersion === right.servingVersion &&
     left.engineBornAt === right.engineBornAt;
--- a/packages/daemon/src/gateway/crash_reporter.ts
+++ b/packages/daemon/src/gateway/crash_reporter.ts
@@ -19,42 +19,46 @@
 import { fingerprintCall } from "./fingerprint_call.ts";
 
 /**
- * Control hosts hear of an end from all gateways, and judge better: their
- * verdict comes sooner than this, unless the gateway is cut off from them.
+ * How long the gateway waits before it decides by itself. Control hosts hear of
+ * an end from all gateways and decide better; their verdict comes sooner than
+ * this, unless the gateway is cut off from them.
  */
 const SETTLE_MILLISECONDS = 500;
 const GATHER_MILLISECONDS = 50;
-/** Told to each control host that is followed: 3 KB. */
-const MOST_REPORTS_PER_SECOND = 48;
-const MOST_BLAMED_TOLD = 64;
+/** Amounts to 3 KB a second for each control host that is followed. */
+const MAX_REPORTS_PER_SECOND = 48;
+const MAX_SNAPSHOT_BLAMES = 64;
 
-type UnderWay = {
+type InFlightCall = {
   call: AdmittedCall;
-  /** Called once it is blamed. */
-  end: (blame: Blame) => void;
+  /** Called once the request is blamed. */
+  abort: (blame: Blame) => void;
 };
 
 type Options = {
   ended$: Observable<EndedServer>;
   news$: Observable<CrashNews>;
-  tell: (news: CrashNews) => void;
+  publish: (news: CrashNews) => void;
   log: EventLog;
 };
 
-/** A gateway's part in finding requests that end what runs them. */
+/**
+ * Gateway side of finding requests that crash the backend servers that run
+ * them: reports crashes, and keeps off the requests blamed for them.
+ */
 export class CrashReporter {
   #options: Options;
   #ledger = new CrashLedger({ settleMilliseconds: SETTLE_MILLISECONDS });
-  #underWay = new Set<UnderWay>();
+  #inFlight = new Set<InFlightCall>();
   #reports: CrashReport[] = [];
-  #budget = new NewsBudget(MOST_REPORTS_PER_SECOND);
+  #budget = new NewsBudget(MAX_REPORTS_PER_SECOND);
   #gatherTimer: NodeJS.Timeout | undefined;
   #decideTimer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
     this.#options = options;
-    options.ended$.subscribe((ended) => this.#takeEnd(ended));
-    options.news$.subscribe((news) => this.#learn(news));
+    options.ended$.subscribe((ended) => this.#recordEnd(ended));
+    options.news$.subscribe((news) => this.#applyNews(news));
   }
 
   stop(): void {
@@ -62,117 +66,128 @@
     clearTimeout(this.#decideTimer);
   }
 
-  /** Why a request is not to be sent now; undefined where it may be. */
-  refusal(call: AdmittedCall): Blame | undefined {
+  /**
+   * Returns the blame for which a request must not be sent now, undefined if it
+   * may be. After the blame's term lets one request through as a trial.
+   */
+  checkBlame(call: AdmittedCall): Blame | undefined {
     if (!this.#ledger.hasBlamed) return undefined;
     const now = monotonicMilliseconds();
     return this.#ledger.refusal(fingerprintCall(call), now);
   }
 
-  /** Whether this host may send it once more of its own accord. */
-  maySendAgain(call: AdmittedCall): boolean {
+  /** Whether this host may retry the request on its own. */
+  mayRetry(call: AdmittedCall): boolean {
     return this.#ledger.suspectCount === 0 ||
       this.#ledger.maySendAgain(fingerprintCall(call));
   }
 
-  /** @returns ends the watch. */
-  watch(underWay: UnderWay): () => void {
-    this.#underWay.add(underWay);
-    return () => void this.#underWay.delete(underWay);
+  /** @returns a function that ends the watch. */
+  watch(inFlightCall: InFlightCall): () => void {
+    this.#inFlight.add(inFlightCall);
+    return () => void this.#inFlight.delete(inFlightCall);
   }
 
-  noteGoodEnd(call: AdmittedCall): void {
+  noteSuccess(call: AdmittedCall): void {
     if (this.#ledger.suspectCount === 0 && !this.#ledger.hasBlamed) return;
     const fingerprint = fingerprintCall(call);
     if (!this.#ledger.clear(fingerprint)) return;
-    this.#options.tell(create(CrashNewsSchema, { cleared: [fingerprint] }));
+    this.#options.publish(create(CrashNewsSchema, { cleared: [fingerprint] }));
   }
 
-  /** For a control host that has just been turned to: it may know nothing. */
-  standing(): CrashNews | undefined {
-    const blames = this.#ledger.blames().slice(-MOST_BLAMED_TOLD);
-    return blames.length === 0 ? undefined : this.#newsOf(blames);
+  /**
+   * Latest blames, for a control host that this gateway begins to follow and
+   * that may know nothing; undefined for none.
+   */
+  blameSnapshot(): CrashNews | undefined {
+    const blames = this.#ledger.blames().slice(-MAX_SNAPSHOT_BLAMES);
+    return blames.length === 0 ? undefined : this.#encodeBlames(blames);
   }
 
-  forget(): void {
+  expire(): void {
     this.#ledger.expire(monotonicMilliseconds());
   }
 
-  #takeEnd({ standing, interrupted }: EndedServer): void {
+  #recordEnd({ standing, interrupted }: EndedServer): void {
     const now = monotonicMilliseconds();
     const incarnation = `${standing.instance}@${standing.bornAt}`;
     for (const { fingerprint, begunMilliseconds } of interrupted) {
       const report = { fingerprint, incarnation, begunMilliseconds };
       if (this.#ledger.report(report, now)) this.#reports.push(report);
     }
-    this.#decideSoon();
+    this.#scheduleDecision();
     this.#gatherTimer ??= setTimeout(
-      () => this.#tellReports(),
+      () => this.#publishReports(),
       GATHER_MILLISECONDS,
     );
   }
 
-  /** With too many to tell, those of whom most is known already go first. */
-  #tellReports(): void {
+  /**
+   * Publishes the gathered reports. If there are too many, those of requests
+   * with the most evidence go first.
+   */
+  #publishReports(): void {
     this.#gatherTimer = undefined;
     const now = monotonicMilliseconds();
-    const told = this.#reports
-      .sort((left, right) => this.#weigh(right) - this.#weigh(left))
+    const published = this.#reports
+      .sort((left, right) =>
+        this.#reportPriority(right) - this.#reportPriority(left)
+      )
       .slice(0, this.#budget.take(this.#reports.length, now));
-    const leftOut = this.#reports.length - told.length;
+    const droppedCount = this.#reports.length - published.length;
     this.#reports = [];
-    if (leftOut > 0) {
-      this.#options.log.warn("crash-reports-left-out", { count: leftOut });
+    if (droppedCount > 0) {
+      this.#options.log.warn("crash-reports-left-out", { count: droppedCount });
     }
-    if (told.length === 0) return;
-    const reports = told.map(encodeCrashReport);
-    this.#options.tell(create(CrashNewsSchema, { reports }));
+    if (published.length === 0) return;
+    const reports = published.map(encodeCrashReport);
+    this.#options.publish(create(CrashNewsSchema, { reports }));
   }
 
-  #weigh({ fingerprint, begunMilliseconds }: CrashReport): number {
+  #reportPriority({ fingerprint, begunMilliseconds }: CrashReport): number {
     const soon = begunMilliseconds === undefined
       ? 0
       : 1 / (1 + begunMilliseconds);
     return this.#ledger.weightOf(fingerprint) + soon;
   }
 
-  #decideSoon(): void {
+  #scheduleDecision(): void {
     this.#decideTimer ??= setTimeout(() => {
       this.#decideTimer = undefined;
       const blames = this.#ledger.decide(monotonicMilliseconds());
       if (blames.length > 0) {
-        this.#takeBlames(blames, "decided");
-        this.#options.tell(this.#newsOf(blames));
+        this.#applyBlames(blames, "decided");
+        this.#options.publish(this.#encodeBlames(blames));
       }
-      if (this.#ledger.isUndecided) this.#decideSoon();
+      if (this.#ledger.isUndecided) this.#scheduleDecision();
     }, SETTLE_MILLISECONDS);
   }
 
-  #learn({ blamed, cleared }: CrashNews): void {
+  #applyNews({ blamed, cleared }: CrashNews): void {
     const now = monotonicMilliseconds();
     for (const fingerprint of cleared) this.#ledger.clear(fingerprint);
     const learnt = blamed
       .map((request) => decodeBlame(request, now))
       .filter((blame) => this.#ledger.learn(blame));
-    if (learnt.length > 0) this.#takeBlames(learnt, "told");
+    if (learnt.length > 0) this.#applyBlames(learnt, "told");
   }
 
-  #takeBlames(blames: Blame[], how: "decided" | "told"): void {
+  #applyBlames(blames: Blame[], how: "decided" | "told"): void {
     const now = monotonicMilliseconds();
     for (const blame of blames) {
       const fields = { ...blameFields(blame, now), how };
       this.#options.log.warn("request-blamed", fields);
-      this.#endUnderWay(blame);
+      this.#abortInFlight(blame);
     }
   }
 
-  #endUnderWay(blame: Blame): void {
-    for (const { call, end } of [...this.#underWay]) {
-      if (fingerprintCall(call) === blame.fingerprint) end(blame);
+  #abortInFlight(blame: Blame): void {
+    for (const { call, abort } of [...this.#inFlight]) {
+      if (fingerprintCall(call) === blame.fingerprint) abort(blame);
     }
   }
 
-  #newsOf(blames: Blame[]): CrashNews {
+  #encodeBlames(blames: Blame[]): CrashNews {
     const now = monotonicMilliseconds();
     return create(CrashNewsSchema, {
       blamed: blames.map((blame) => encodeBlame(blame, now)),
--- a/packages/daemon/src/gateway/crash_watch.ts
+++ b/packages/daemon/src/gateway/crash_watch.ts
@@ -7,20 +7,23 @@
 import type { EndedServer } from "./ended_server.ts";
 import { fingerprintCall } from "./fingerprint_call.ts";
 
-/** All connections of a process that ends close together. */
+/** When a process ends, all of its connections close within this time. */
 const GATHER_MILLISECONDS = 30;
-/** A backend server that ended is back, or known to be gone, by then. */
+/** By then a backend server that ended is back, or known to be gone. */
 const PENDING_MILLISECONDS = 15_000;
 
-/** A request whose connection a backend server closed under it. */
-type Break = {
+/** A request in flight whose connection a backend server closed. */
+type BrokenRequest = {
   call: AdmittedCall;
   standing: BackendStanding;
-  /** When its answer began, monotonic milliseconds; undefined if it had not. */
+  /**
+   * When the request's answer began, monotonic milliseconds; undefined if it
+   * had not.
+   */
   begunAt: number | undefined;
 };
 
-type Suspected = EndedServer & { at: number };
+type SuspectedEnd = EndedServer & { at: number };
 
 type Options = {
   hasOpenConnection: (address: string) => boolean;
@@ -29,23 +32,26 @@
 };
 
 /**
- * Tells the end of a backend server from the end of a connection: of the one
- * all that was under way there is a witness, of the other only a request.
+ * Tells the end of a backend server's process from that of a connection: the
+ * first interrupts all requests in flight there, the second only one.
  */
 export class CrashWatch {
   readonly ended$ = new Subject<EndedServer>();
   #options: Options;
-  #gathering = new Map<string, Suspected>();
-  /** Not known yet whether they ended, by instance. */
-  #pending = new Map<string, Suspected>();
+  #gathering = new Map<string, SuspectedEnd>();
+  /** Backend servers not yet known to have ended, by instance. */
+  #pending = new Map<string, SuspectedEnd>();
 
   constructor(options: Options) {
     this.#options = options;
-    options.backends$.subscribe((changed) => this.#takeChanges(changed));
+    options.backends$.subscribe((changed) => this.#resolvePending(changed));
   }
 
-  /** Call it for each request that a backend server, not this host, broke. */
-  note({ call, standing, begunAt }: Break): void {
+  /**
+   * To be called for each request that a backend server, not this host, broke
+   * off.
+   */
+  noteBrokenRequest({ call, standing, begunAt }: BrokenRequest): void {
     const now = monotonicMilliseconds();
     const begunMilliseconds = begunAt === undefined ? undefined : now - begunAt;
     const fingerprint = fingerprintCall(call);
@@ -54,20 +60,23 @@
     if (known !== undefined) return void known.interrupted.push(interrupted);
     const suspected = { standing, interrupted: [interrupted], at: now };
     this.#gathering.set(standing.instance, suspected);
-    setTimeout(() => this.#look(suspected), GATHER_MILLISECONDS);
+    setTimeout(() => this.#checkEnded(suspected), GATHER_MILLISECONDS);
   }
 
-  async #look(suspected: Suspected): Promise<void> {
+  async #checkEnded(suspected: SuspectedEnd): Promise<void> {
     const { instance, address } = suspected.standing;
     this.#gathering.delete(instance);
     if (this.#options.hasOpenConnection(address)) return;
     const answer = await askWhetherEnded(address);
-    if (answer === "ended") return this.#tell(suspected, "refuses");
+    if (answer === "ended") return this.#confirmEnd(suspected, "refuses");
     if (answer === "unknown") this.#pending.set(instance, suspected);
   }
 
-  /** Another start at its address shows the end that could not be asked for. */
-  #takeChanges(changed: BackendStanding[]): void {
+  /**
+   * Confirms ends that could not be checked directly: a later start at the same
+   * address shows them.
+   */
+  #resolvePending(changed: BackendStanding[]): void {
     if (this.#pending.size === 0) return;
     const now = monotonicMilliseconds();
     for (const [instance, suspected] of [...this.#pending]) {
@@ -77,11 +86,11 @@
       );
       if (!isReplaced && now - at <= PENDING_MILLISECONDS) continue;
       this.#pending.delete(instance);
-      if (isReplaced) this.#tell(suspected, "replaced");
+      if (isReplaced) this.#confirmEnd(suspected, "replaced");
     }
   }
 
-  #tell(ended: EndedServer, how: "refuses" | "replaced"): void {
+  #confirmEnd(ended: EndedServer, how: "refuses" | "replaced"): void {
     const { standing, interrupted } = ended;
     for (const { call, fingerprint, begunMilliseconds } of interrupted) {
       this.#options.log.info("backend-server-ended", {
--- a/packages/daemon/src/gateway/ended_server.ts
+++ b/packages/daemon/src/gateway/ended_server.ts
@@ -1,15 +1,21 @@
 import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
 
-/** A request that was under way where a backend server ended. */
+/** A request that was in flight at a backend server when that one ended. */
 type Interrupted = {
   call: AdmittedCall;
   fingerprint: string;
-  /** From the beginning of its answer to the end; undefined without one. */
+  /**
+   * From the beginning of the request's answer to the end of the backend
+   * server; undefined if no answer had begun.
+   */
   begunMilliseconds: number | undefined;
 };
 
-/** The end of one start of a backend server, with what it had of this host. */
+/**
+ * The end of one incarnation of a backend server, with this host's requests
+ * that were in flight there.
+ */
 export type EndedServer = {
   standing: BackendStanding;
   interrupted: Interrupted[];
--- a/packages/daemon/src/gateway/gateway_app.ts
+++ b/packages/daemon/src/gateway/gateway_app.ts
@@ -17,21 +17,23 @@
 import { ControlFeed } from "./control_feed.ts";
 import { CrashReporter } from "./crash_reporter.ts";
 import { CrashWatch } from "./crash_watch.ts";
+import type { GatewayContext } from "./gateway_context.ts";
 import { GatewayServer } from "./gateway_server.ts";
-import type { GatewayWorld } from "./gateway_world.ts";
 import { NamedLimits } from "./named_limits.ts";
 import { SilenceWatch } from "./silence_watch.ts";
 import { StartHold } from "./start_hold.ts";
 
-/** Any of these knows all; three are never lost together. */
+/** Each control host has the whole state; three never fail together. */
 const FOLLOWED_CONTROL_HOSTS = 3;
-/** Extra sends that one host may save up for a bad moment. */
-const SAVED_RETRIES = 8;
-const HOUSEKEEPING_MILLISECONDS = 500;
-/** Two missed questions of the balancer, a second apart, and some more. */
-const BALANCER_MILLISECONDS = 3_000;
+/** Retries that one host may save up for a burst of failures. */
+const MAX_SAVED_RETRIES = 8;
+const HOUSEKEEPING_INTERVAL_MILLISECONDS = 500;
+/**
+ * Two failed health checks of the load balancer, a second apart, and a margin.
+ */
+const BALANCER_NOTICE_MILLISECONDS = 3_000;
 const DRAIN_POLL_MILLISECONDS = 50;
-/** Kept back from the time until the process is killed. */
+/** Kept back from the grace time, after which the process is killed. */
 const GRACE_MARGIN_MILLISECONDS = 400;
 
 type Options = {
@@ -42,11 +44,11 @@
   platform: PlatformEdge;
 };
 
-/** A gateway: takes a platform's requests to backend servers directly. */
+/** Gateway role: sends a platform's requests directly to backend servers. */
 export class GatewayApp {
   #options: Options;
-  #follows: FollowSet;
-  #world: GatewayWorld;
+  #followSet: FollowSet;
+  #context: GatewayContext;
   #server: GatewayServer;
   #readyServer: Server;
   #isStopping = false;
@@ -54,9 +56,9 @@
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
-    const { settings, clients, log, counted, platform } = options;
+    const { settings, clients, log, counted: metrics, platform } = options;
     this.#options = options;
-    this.#follows = new FollowSet({
+    this.#followSet = new FollowSet({
       hello: {
         host: settings.name,
         dataCentre: settings.data_centre,
@@ -68,12 +70,12 @@
       clients,
       log,
       standingNews: () => {
-        const value = this.#world.crashes.standing();
+        const value = this.#context.crashes.blameSnapshot();
         return value && { case: "crashes", value };
       },
     });
     const feed = new ControlFeed({
-      follows: this.#follows,
+      followSet: this.#followSet,
       decodeRouting: platform.decodeRouting,
       log,
     });
@@ -82,7 +84,7 @@
       configuredAt: () => feed.configuredAt,
       isStopping,
     });
-    feed.news$.subscribe(() => startHold.noteNews());
+    feed.updates$.subscribe(() => startHold.noteNews());
     const connections = new BackendConnections();
     const crashWatch = new CrashWatch({
       hasOpenConnection: (address) => connections.hasOpen(address),
@@ -93,11 +95,11 @@
       host: settings.name,
       backends$: feed.backends$,
       news$: feed.limits$,
-      tell: (value) => this.#follows.tell({ case: "limits", value }),
+      publish: (value) => this.#followSet.tell({ case: "limits", value }),
       random: Math.random,
       log,
     });
-    this.#world = {
+    this.#context = {
       feed,
       startHold,
       pool: new BackendPool({
@@ -112,7 +114,7 @@
       namedLimits,
       retries: new SharedRetryBudget({
         ratio: settings.gateway!.retry_ratio,
-        mostSaved: SAVED_RETRIES,
+        mostSaved: MAX_SAVED_RETRIES,
       }),
       patience: new UsualPatience(),
       silence: new SilenceWatch(),
@@ -120,79 +122,82 @@
       crashes: new CrashReporter({
         ended$: crashWatch.ended$,
         news$: feed.crashes$,
-        tell: (value) => this.#follows.tell({ case: "crashes", value }),
+        publish: (value) => this.#followSet.tell({ case: "crashes", value }),
         log,
       }),
       format: platform.requestFormat,
       log,
-      counted,
+      metrics,
       random: Math.random,
       isStopping,
     };
-    this.#server = new GatewayServer(this.#world);
+    this.#server = new GatewayServer(this.#context);
     this.#readyServer = createServer((request, response) => {
-      const asked = request.url?.split("?")[0] === platform.readyPath;
-      const status = !asked ? 404 : this.#isReady() ? 200 : 503;
+      const isReadyRequest = request.url?.split("?")[0] === platform.readyPath;
+      const status = !isReadyRequest ? 404 : this.#isReady() ? 200 : 503;
       response.writeHead(status, { "Content-Length": 0 }).end();
     });
   }
 
   async start(): Promise<Result<void, string>> {
     const { listen: address, ready_listen } = this.#options.settings.gateway!;
-    this.#follows.start();
+    this.#followSet.start();
     const listening = await this.#server.listen(address);
     if (listening.isErr) return listening;
     this.#timer = setInterval(
-      () => this.#keepHouse(),
-      HOUSEKEEPING_MILLISECONDS,
+      () => this.#runHousekeeping(),
+      HOUSEKEEPING_INTERVAL_MILLISECONDS,
     );
     return await listen(this.#readyServer, ready_listen);
   }
 
-  /** Other control hosts may be named than at the start. */
+  /** Takes over the control hosts that the new settings name. */
   reload(settings: Settings): void {
-    this.#follows.setSeeds(settings.gateway?.control_hosts ?? []);
+    this.#followSet.setSeeds(settings.gateway?.control_hosts ?? []);
   }
 
   /**
-   * A planned stop cuts off nothing: first the balancer is told, then
-   * connections are closed behind their answers, and the process ends with
-   * the last of them or just ahead of its kill.
+   * Stops without cutting off answers. The readiness check fails first, so that
+   * the load balancer sends no more requests; then connections are closed after
+   * their answers. Resolves after the last answer, or just before the process
+   * would be killed.
    */
   async stop(): Promise<void> {
     const { grace_milliseconds } = this.#options.settings.gateway!;
-    const until = monotonicMilliseconds() + grace_milliseconds -
+    const drainDeadline = monotonicMilliseconds() + grace_milliseconds -
       GRACE_MARGIN_MILLISECONDS;
     this.#isStopping = true;
-    await pause(BALANCER_MILLISECONDS);
+    await pause(BALANCER_NOTICE_MILLISECONDS);
     this.#server.stopListening();
-    while (this.#server.underWay > 0 && monotonicMilliseconds() < until) {
+    while (
+      this.#server.inFlight > 0 && monotonicMilliseconds() < drainDeadline
+    ) {
       this.#server.closeIdle();
       await pause(DRAIN_POLL_MILLISECONDS);
     }
     this.#options.log.info("gateway-drained", {
-      left: this.#server.underWay,
+      left: this.#server.inFlight,
     });
     this.#server.closeAll();
     this.#readyServer.close();
     this.#readyServer.closeAllConnections();
     clearInterval(this.#timer);
-    this.#world.crashes.stop();
-    this.#world.namedLimits.stop();
-    this.#follows.stop();
-    this.#world.connections.close();
+    this.#context.crashes.stop();
+    this.#context.namedLimits.stop();
+    this.#followSet.stop();
+    this.#context.connections.close();
   }
 
   #isReady(): boolean {
-    return !this.#isStopping && this.#world.feed.isComplete;
+    return !this.#isStopping && this.#context.feed.isComplete;
   }
 
-  #keepHouse(): void {
-    const { feed, connections, log } = this.#world;
-    feed.forget();
-    this.#world.crashes.forget();
-    connections.keep(feed.liveAddresses());
-    this.#server.adoptLimits();
+  #runHousekeeping(): void {
+    const { feed, connections, log } = this.#context;
+    feed.expire();
+    this.#context.crashes.expire();
+    connections.retainOnly(feed.liveAddresses());
+    this.#server.applyLimits();
     if (this.#isReady() === this.#wasReady) return;
     this.#wasReady = !this.#wasReady;
     log.info("readiness", { ready: this.#wasReady });
--- a/packages/daemon/src/gateway/gateway_call.ts
+++ b/packages/daemon/src/gateway/gateway_call.ts
@@ -4,133 +4,153 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import { admitCall } from "./admit_call.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
-import { AnswerPasser } from "./answer_passer.ts";
+import { AnswerForwarder } from "./answer_forwarder.ts";
 import type { AttemptOutcome } from "./attempt_outcome.ts";
 import { CallEnding } from "./call_ending.ts";
-import { CallRefuser } from "./call_refuser.ts";
 import { CallRouting } from "./call_routing.ts";
 import { CallSender } from "./call_sender.ts";
-import type { GatewayWorld } from "./gateway_world.ts";
+import type { GatewayContext } from "./gateway_context.ts";
+import { RefusalBuilder } from "./refusal_builder.ts";
 
 type Answer = Extract<AttemptOutcome, { kind: "answer" }>;
 
 type Options = {
-  world: GatewayWorld;
+  context: GatewayContext;
   request: IncomingMessage;
   response: ServerResponse;
 };
 
-/** What a request is under way with, once it was admitted. */
-type Work = {
+/** An admitted request and the objects that handle it. */
+type ActiveCall = {
   call: AdmittedCall;
   sender: CallSender;
-  passer: AnswerPasser;
+  forwarder: AnswerForwarder;
   routing: CallRouting;
-  refuser: CallRefuser;
+  refusals: RefusalBuilder;
 };
 
-/** One request of a client, from its head to the end of its answer. */
+/** Handles one client request, from its head to the end of its answer. */
 export class GatewayCall {
-  #world: GatewayWorld;
+  #context: GatewayContext;
   #request: IncomingMessage;
   #response: ServerResponse;
   #startedAt = monotonicMilliseconds();
   #ending: CallEnding;
 
   constructor(options: Options) {
-    this.#world = options.world;
+    this.#context = options.context;
     this.#request = options.request;
     this.#response = options.response;
     this.#ending = new CallEnding(options);
   }
 
-  /** Never rejects; every way out ends the answer. */
+  /** Never rejects; every path ends the response. */
   async run(): Promise<void> {
-    const world = this.#world;
+    const context = this.#context;
     const response = this.#response;
     await this.#holdUntilConfigured();
-    const admitted = await admitCall(world, this.#request, this.#startedAt);
+    const admitted = await admitCall(context, this.#request, this.#startedAt);
     if (admitted.isErr) return this.#ending.refuse(undefined, admitted.error);
     const call = admitted.value;
     const isOver = () => this.#ending.isOver;
-    const sender = new CallSender(world, call);
-    const passer = new AnswerPasser({ world, call, response, isOver });
+    const sender = new CallSender(context, call);
+    const forwarder = new AnswerForwarder({ context, call, response, isOver });
     const { tried } = sender;
-    const routing = new CallRouting({ world, call, passer, tried });
-    const refuser = new CallRefuser(world, call);
-    const work: Work = { call, sender, passer, routing, refuser };
-    world.retries.countRequest();
-    // Its end came and went while it was held or read.
-    if (response.destroyed) return this.#noteLeft(work);
-    response.once("close", () => this.#noteLeft(work));
-    const left = call.endsAt - monotonicMilliseconds();
-    this.#ending.startTimer(left, () => this.#giveUp(work));
-    const endWatch = world.crashes.watch({
+    const routing = new CallRouting({ context, call, forwarder, tried });
+    const refusals = new RefusalBuilder(context, call);
+    const active: ActiveCall = {
       call,
-      end: (blame) => this.#endBlamed(work, blame),
+      sender,
+      forwarder,
+      routing,
+      refusals,
+    };
+    context.retries.countRequest();
+    // The connection was closed while the request was held or its body read:
+    // "close" is not emitted again.
+    if (response.destroyed) return this.#handleDisconnect(active);
+    response.once("close", () => this.#handleDisconnect(active));
+    const left = call.deadlineAt - monotonicMilliseconds();
+    this.#ending.startTimer(left, () => this.#handleTimeout(active));
+    const stopWatching = context.crashes.watch({
+      call,
+      abort: (blame) => this.#abortBlamed(active, blame),
     });
     try {
-      await this.#place(work);
+      await this.#sendUntilAnswered(active);
     } finally {
-      endWatch();
+      stopWatching();
     }
   }
 
-  /** Nothing can be said of a request before a configuration is known. */
+  /**
+   * Holds the request until a configuration is known: without one it has no
+   * route.
+   */
   async #holdUntilConfigured(): Promise<void> {
-    const { feed, startHold } = this.#world;
+    const { feed, startHold } = this.#context;
     while (feed.table === undefined && !this.#response.destroyed) {
       if (!await startHold.wait(this.#startedAt)) return;
     }
   }
 
-  /** Sends it, and again where that is allowed, until it is answered. */
-  async #place(work: Work): Promise<void> {
-    const { sender, passer, routing, refuser } = work;
+  /**
+   * Sends the request, again where that is allowed, until it is answered or
+   * refused.
+   */
+  async #sendUntilAnswered(active: ActiveCall): Promise<void> {
+    const { sender, forwarder, routing, refusals } = active;
     let lastReason = "";
     while (!this.#ending.isOver) {
-      const blame = this.#world.crashes.refusal(work.call);
-      if (blame !== undefined) return this.#refuseBlamed(work, blame);
+      const blame = this.#context.crashes.checkBlame(active.call);
+      if (blame !== undefined) return this.#refuseBlamed(active, blame);
       const choice = routing.choose();
       if (choice === undefined) {
-        if (await this.#holdUnplaced(work)) continue;
-        return this.#refuseUnplaced(work, lastReason);
+        if (await this.#waitForBackends(active)) continue;
+        return this.#refuseWithoutBackend(active, lastReason);
       }
-      if (sender.tried.size > 0 && !routing.trySendAgain()) {
+      if (sender.tried.size > 0 && !routing.trySpendRetry()) {
         const reason = `${lastReason}; no further send is allowed`;
-        return this.#ending.refuse(work, refuser.refusal(reason, "busy"));
+        return this.#ending.refuse(active, refusals.build(reason, "busy"));
       }
       const placement = routing.place(choice);
       if (placement.kind === "refused") {
         const reason = "its backend servers have no room";
-        return this.#ending.refuse(work, refuser.refusal(reason, "overload"));
+        return this.#ending.refuse(active, refusals.build(reason, "overload"));
       }
-      const endWatch = this.#watchSilence(work, choice);
+      const stopWatching = this.#watchSilence(active, choice);
       const outcome = await sender.send(choice, {
         placement,
         weightsVersion: routing.weightsVersion,
-        resumesAfter: passer.lastEventId,
+        resumesAfter: forwarder.lastEventId,
       });
-      const end = await this.#takeOutcome(work, choice, outcome);
-      endWatch();
+      const end = await this.#handleOutcome(active, choice, outcome);
+      stopWatching();
       if (end === "over") return;
       lastReason = end;
-      refuser.mayHaveRun ||= outcome.kind !== "not-run";
-      if (refuser.mayHaveRun && !routing.mayRepeat) {
-        return this.#ending.refuse(work, { status: 502, reason: lastReason });
+      refusals.mayHaveRun ||= outcome.kind !== "not-run";
+      if (refusals.mayHaveRun && !routing.isRetryable) {
+        return this.#ending.refuse(active, { status: 502, reason: lastReason });
       }
     }
   }
 
-  /** Its backend servers may not have been heard of yet. */
-  #holdUnplaced({ call, sender }: Work): Promise<boolean> {
+  /**
+   * Waits for news after the gateway's start, as the request's backend servers
+   * may not be known yet. False if the request was sent before or may not be
+   * held.
+   */
+  #waitForBackends({ call, sender }: ActiveCall): Promise<boolean> {
     if (sender.tried.size > 0) return Promise.resolve(false);
-    return this.#world.startHold.wait(call.startedAt);
+    return this.#context.startHold.wait(call.startedAt);
   }
 
-  /** Gives back why it is to be sent again, or "over". */
-  async #takeOutcome(
-    work: Work,
+  /**
+   * Returns "over" when the request has ended, otherwise why the attempt
+   * failed.
+   */
+  async #handleOutcome(
+    active: ActiveCall,
     choice: BackendChoice,
     outcome: AttemptOutcome,
   ): Promise<string> {
@@ -139,36 +159,39 @@
       return "over";
     }
     if (outcome.kind === "answer") {
-      const end = await this.#takeAnswer(work, choice, outcome);
+      const end = await this.#handleAnswer(active, choice, outcome);
       return end === "over" ? end : "the answer broke off";
     }
-    work.sender.noteFailure(choice, outcome);
-    if (outcome.kind === "broken" && !outcome.isGivenUp) {
-      this.#noteBreak(work, choice, undefined);
+    active.sender.noteFailure(choice, outcome);
+    if (outcome.kind === "broken" && !outcome.isAborted) {
+      this.#noteBreak(active, choice, undefined);
     }
     return outcome.reason;
   }
 
   #watchSilence(
-    { sender, routing }: Work,
+    { sender, routing }: ActiveCall,
     { record }: BackendChoice,
   ): () => void {
-    return this.#world.silence.watch({
+    return this.#context.silence.watch({
       isSilent: () => record.isSilent(monotonicMilliseconds()),
-      mayGoElsewhere: () =>
-        !this.#ending.isOver && routing.canTryElsewhere() &&
-        this.#world.retries.mayBeSpent,
-      giveUp: () => sender.abort("its backend server has fallen silent"),
+      canFailOver: () =>
+        !this.#ending.isOver && routing.canFailOver() &&
+        this.#context.retries.mayBeSpent,
+      abort: () => sender.abort("its backend server has fallen silent"),
     });
   }
 
-  /** Passes an answer on; "again" when another is to be asked. */
-  async #takeAnswer(
-    work: Work,
+  /**
+   * Forwards an answer to the client; "again" when another backend server is to
+   * be asked.
+   */
+  async #handleAnswer(
+    active: ActiveCall,
     { standing, record }: BackendChoice,
     { message, facts }: Answer,
   ): Promise<"over" | "again"> {
-    const { sender, passer, routing } = work;
+    const { sender, forwarder, routing } = active;
     const status = message.statusCode ?? 502;
     const now = monotonicMilliseconds();
     if (facts.load !== undefined) record.takeReport(facts.load, now);
@@ -178,7 +201,7 @@
       sender.abort("a success without a signature");
       return "again";
     }
-    if (status >= 500 && routing.canTryElsewhere()) {
+    if (status >= 500 && routing.canFailOver()) {
       record.inFlight -= 1;
       record.countFailure(now);
       message.resume();
@@ -186,7 +209,7 @@
     }
     if (isGood) record.endTrial();
     routing.weightsVersion ??= facts.weightsVersion;
-    const end = await passer.pass(message, () => sender.hasFailed);
+    const end = await forwarder.forward(message, () => sender.hasFailed);
     record.inFlight -= 1;
     if (this.#ending.isOver) return "over";
     if (end === "broken" || status >= 500) {
@@ -196,68 +219,79 @@
       record.noteHold(monotonicMilliseconds() - now);
     }
     if (end === "broken") {
-      if (!sender.isGivenUp) this.#noteBreak(work, { standing, record }, now);
-      this.#world.log.info("answer-broken", {
-        id: work.call.id,
+      if (!sender.isAborted) this.#noteBreak(active, { standing, record }, now);
+      this.#context.log.info("answer-broken", {
+        id: active.call.id,
         instance: standing.instance,
-        last_event: passer.lastEventId,
+        last_event: forwarder.lastEventId,
         sends: sender.tried.size,
       });
       return "again";
     }
     this.#response.end();
-    if (isGood) this.#world.crashes.noteGoodEnd(work.call);
+    if (isGood) this.#context.crashes.noteSuccess(active.call);
     const reason = standing.instance;
-    this.#ending.finish(work, { status, reason, outcome: "answered" });
+    this.#ending.finish(active, { status, reason, outcome: "answered" });
     return "over";
   }
 
   #noteBreak(
-    { call, sender }: Work,
+    { call, sender }: ActiveCall,
     { standing }: BackendChoice,
     headAt: number | undefined,
   ): void {
-    // Only a stream's head tells that it had begun: others answer at the end.
+    // Only streams send their head when work on them begins. Other answers are
+    // sent at the end: for these, work counts from the sending of the request.
     const begunAt = call.route.kind === "stream" ? headAt : sender.sentAt;
-    this.#world.crashWatch.note({ call, standing, begunAt });
+    this.#context.crashWatch.noteBrokenRequest({ call, standing, begunAt });
   }
 
-  /** What has begun to answer goes on: it is too late to keep it off. */
-  #endBlamed(work: Work, blame: Blame): void {
-    if (this.#ending.isOver || work.passer.hasBegun) return;
-    work.refuser.mayHaveRun ||= work.sender.isSent;
-    this.#refuseBlamed(work, blame);
-    work.sender.abort("it ends what runs it");
+  /**
+   * Ends a request that was blamed for crashes. One whose answer has begun goes
+   * on: it is too late to keep it off the backend server.
+   */
+  #abortBlamed(active: ActiveCall, blame: Blame): void {
+    if (this.#ending.isOver || active.forwarder.hasBegun) return;
+    active.refusals.mayHaveRun ||= active.sender.isSent;
+    this.#refuseBlamed(active, blame);
+    active.sender.abort("it ends what runs it");
   }
 
-  #refuseBlamed(work: Work, blame: Blame): void {
-    this.#ending.refuse(work, work.refuser.blamed(blame));
+  #refuseBlamed(active: ActiveCall, blame: Blame): void {
+    this.#ending.refuse(active, active.refusals.buildBlamed(blame));
   }
 
-  #giveUp(work: Work): void {
+  #handleTimeout(active: ActiveCall): void {
     if (this.#ending.isOver) return;
-    const isSent = work.refuser.mayHaveRun || work.sender.isSent;
+    const isSent = active.refusals.mayHaveRun || active.sender.isSent;
     const reason = "the time for it is over";
-    this.#ending.refuse(work, { status: isSent ? 504 : 503, reason });
-    work.sender.abort(reason);
+    this.#ending.refuse(active, { status: isSent ? 504 : 503, reason });
+    active.sender.abort(reason);
   }
 
-  #noteLeft(work: Work): void {
+  #handleDisconnect(active: ActiveCall): void {
     if (this.#ending.isOver) return;
     const reason = "the client closed its connection";
-    this.#ending.finish(work, { status: 499, reason, outcome: "client-left" });
-    work.sender.abort("the client has left");
+    this.#ending.finish(active, {
+      status: 499,
+      reason,
+      outcome: "client-left",
+    });
+    active.sender.abort("the client has left");
   }
 
-  #refuseUnplaced(work: Work, lastReason: string): void {
-    const { refuser, routing } = work;
-    const untilRoom = routing.untilRoom();
-    if (untilRoom !== undefined) {
-      return this.#ending.refuse(work, refuser.limited(untilRoom));
+  #refuseWithoutBackend(active: ActiveCall, lastReason: string): void {
+    const { refusals, routing } = active;
+    const waitMilliseconds = routing.millisecondsUntilCapacity();
+    if (waitMilliseconds !== undefined) {
+      return this.#ending.refuse(
+        active,
+        refusals.buildLimited(waitMilliseconds),
+      );
     }
     const refusal = lastReason === ""
-      ? refuser.refusal("no backend server takes it now", "outage")
-      : refuser.refusal(lastReason, "busy");
-    this.#ending.refuse(work, refusal);
+      ? refusals.build("no backend server takes it now", "outage")
+      : refusals.build(lastReason, "busy");
+    this.#ending.refuse(active, refusal);
   }
 }
--- a/packages/daemon/src/gateway/gateway_world.ts
+++ b/packages/daemon/src/gateway/gateway_context.ts
@@ -12,8 +12,8 @@
 import type { SilenceWatch } from "./silence_watch.ts";
 import type { StartHold } from "./start_hold.ts";
 
-/** What all requests of a gateway share. */
-export type GatewayWorld = {
+/** Objects that all requests of a gateway share. */
+export type GatewayContext = {
   feed: ControlFeed;
   startHold: StartHold;
   pool: BackendPool;
@@ -26,7 +26,7 @@
   crashes: CrashReporter;
   format: RequestFormat;
   log: EventLog;
-  counted: ProcessMetrics;
+  metrics: ProcessMetrics;
   random: () => number;
   isStopping: () => boolean;
 };
--- a/packages/daemon/src/gateway/gateway_server.ts
+++ b/packages/daemon/src/gateway/gateway_server.ts
@@ -3,47 +3,50 @@
 import type { Result } from "true-myth";
 import { listen } from "../transport/listen.ts";
 import { GatewayCall } from "./gateway_call.ts";
-import type { GatewayWorld } from "./gateway_world.ts";
+import type { GatewayContext } from "./gateway_context.ts";
 
-/** Heads and bodies that stop half-way are looked for so often. */
-const CONNECTIONS_CHECK_MILLISECONDS = 500;
-/** Kept open longer than any client may leave a connection idle. */
+/** Interval of the checks for heads and bodies that stop half-way. */
+const CONNECTIONS_CHECK_INTERVAL_MILLISECONDS = 500;
+/**
+ * Connections are kept open this much longer than clients may leave them idle.
+ */
 const IDLE_MARGIN_MILLISECONDS = 2_000;
-/** Until a configuration says otherwise. */
-const HEADER_MILLISECONDS = 3_000;
-const IDLE_MILLISECONDS = 15_000;
+/** Defaults until a configuration is known. */
+const DEFAULT_HEADER_TIMEOUT_MILLISECONDS = 3_000;
+const DEFAULT_IDLE_TIMEOUT_MILLISECONDS = 15_000;
 /**
- * More than any configuration allows, which is looked at once the head was
- * read: the parser's own bound can't be changed while the server listens.
+ * More than any configuration allows. The configured limit is checked once the
+ * head was read: the parser's own can't be changed while the server listens.
  */
 const MAX_HEADER_BYTES = 65_536;
-/** A body that comes slower than this is of no use to its sender. */
-const WHOLE_REQUEST_MILLISECONDS = 20_000;
+/** A request that takes longer to arrive is of no use to its client. */
+const REQUEST_TIMEOUT_MILLISECONDS = 20_000;
 
-/** The port that clients' connections arrive on. */
+/** HTTP server that accepts client requests. */
 export class GatewayServer {
-  #world: GatewayWorld;
+  #context: GatewayContext;
   #server: Server;
-  #underWay = 0;
+  #inFlight = 0;
 
-  constructor(world: GatewayWorld) {
-    this.#world = world;
+  constructor(context: GatewayContext) {
+    this.#context = context;
     this.#server = createServer({
       maxHeaderSize: MAX_HEADER_BYTES,
-      connectionsCheckingInterval: CONNECTIONS_CHECK_MILLISECONDS,
-      headersTimeout: HEADER_MILLISECONDS,
-      requestTimeout: WHOLE_REQUEST_MILLISECONDS,
-      keepAliveTimeout: IDLE_MILLISECONDS + IDLE_MARGIN_MILLISECONDS,
+      connectionsCheckingInterval: CONNECTIONS_CHECK_INTERVAL_MILLISECONDS,
+      headersTimeout: DEFAULT_HEADER_TIMEOUT_MILLISECONDS,
+      requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MILLISECONDS +
+        IDLE_MARGIN_MILLISECONDS,
       noDelay: true,
     }, (request, response) => {
-      this.#underWay += 1;
+      this.#inFlight += 1;
       response.once("close", () => {
-        this.#underWay -= 1;
+        this.#inFlight -= 1;
       });
       response.on("error", () => undefined);
-      if (world.isStopping()) response.shouldKeepAlive = false;
-      new GatewayCall({ world, request, response }).run().catch((error) => {
-        world.log.error("request-failed", { reason: error.stack ?? error });
+      if (context.isStopping()) response.shouldKeepAlive = false;
+      new GatewayCall({ context, request, response }).run().catch((error) => {
+        context.log.error("request-failed", { reason: error.stack ?? error });
         response.destroy();
       });
     });
@@ -52,24 +55,24 @@
     });
   }
 
-  get underWay(): number {
-    return this.#underWay;
+  get inFlight(): number {
+    return this.#inFlight;
   }
 
   listen(address: string): Promise<Result<void, string>> {
     return listen(this.#server, address);
   }
 
-  /** Takes on the limits of the configuration in force. */
-  adoptLimits(): void {
-    const limits = this.#world.feed.table?.configuration.callerLimits;
+  /** Applies the limits of the current configuration. */
+  applyLimits(): void {
+    const limits = this.#context.feed.table?.configuration.callerLimits;
     if (limits === undefined) return;
     this.#server.headersTimeout = limits.headerTimeoutMilliseconds;
     this.#server.keepAliveTimeout = limits.idleTimeoutMilliseconds +
       IDLE_MARGIN_MILLISECONDS;
   }
 
-  /** Ends listening; connections with a request under way stay. */
+  /** Stops listening; connections with a request in flight stay open. */
   stopListening(): void {
     this.#server.close();
   }
@@ -90,7 +93,7 @@
       : code === "ERR_HTTP_REQUEST_TIMEOUT"
       ? "408 Request Timeout"
       : "400 Bad Request";
-    this.#world.log.warn("request-unreadable", { reason: code, status });
+    this.#context.log.warn("request-unreadable", { reason: code, status });
     socket.end(
       `HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`,
     );
--- a/packages/daemon/src/gateway/large_answer_test.ts
+++ b/packages/daemon/src/gateway/large_answer_test.ts
@@ -14,7 +14,7 @@
 const BYTES = 300_000;
 const COLLECTED_BYTES = 65_536;
 
-/** Serves `handle` once, and asks it. */
+/** Starts a server with `handle` and sends it one request. */
 async function ask(
   handle: (request: IncomingMessage, response: ServerResponse) => void,
 ): Promise<{ message: IncomingMessage; close: () => void }> {
@@ -33,10 +33,10 @@
   };
 }
 
-// A plain service answers with a document of some hundred kilobytes. Its first
-// part is collected, the rest is to be passed on as it comes; the answer then
-// stopped after the first part, and its client waited until its time was over.
-test("an answer too large to be collected is passed on to its end", async () => {
+// A plain service answers with a document of some hundred kilobytes. The first
+// part is buffered, the rest is forwarded as it arrives. Guards against answers
+// that stopped after the first part, whose clients waited until their deadline.
+test("an answer too large to be buffered is forwarded to its end", async () => {
   const backend = await ask((_, response) => response.end(Buffer.alloc(BYTES)));
   const collected = await collectAnswer(backend.message, COLLECTED_BYTES);
   assert.equal(collected.kind, "large");
--- a/packages/daemon/src/gateway/named_limits.ts
+++ b/packages/daemon/src/gateway/named_limits.ts
@@ -14,66 +14,83 @@
 import { encodeLimit } from "../transport/encode_limit.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-/** Several times in what others take to grow into what this host left. */
-const TELL_MILLISECONDS = 250;
+/**
+ * Demands are published several times within the time that other hosts take to
+ * grow into the part that this host gave up.
+ */
+const PUBLISH_INTERVAL_MILLISECONDS = 250;
 /** A part falls for who is silent for twice as long. */
-const REST_MILLISECONDS = 1_000;
-/** Told to each control host that is followed: 3 KB. */
-const MOST_DEMANDS_PER_SECOND = 40;
-/** An end of a limit is told for so long, should news of it be lost. */
-const END_MILLISECONDS = 3_000;
-/** An end of a limit is remembered against news that come late. */
+const REFRESH_MILLISECONDS = 1_000;
+/** Amounts to 3 KB a second for each control host that is followed. */
+const MAX_DEMANDS_PER_SECOND = 40;
+/** The end of a limit is repeated for this long, in case a message is lost. */
+const END_NOTICE_MILLISECONDS = 3_000;
+/**
+ * The end of a limit is remembered for this long, so that late news doesn't
+ * bring the limit back.
+ */
 const FORGET_MILLISECONDS = 60_000;
 
-type Known = { limit: NamedLimit; part: LimitPart | undefined };
+type TrackedLimit = { limit: NamedLimit; part: LimitPart | undefined };
 
 type Options = {
   host: string;
   backends$: Observable<BackendStanding[]>;
   news$: Observable<LimitNews>;
-  tell: (news: LimitNews) => void;
+  publish: (news: LimitNews) => void;
   log: EventLog;
   random: () => number;
 };
 
-/** Keeps this host's part of what backend servers in need say they take. */
+/**
+ * Keeps this host within its part of the limits that backend servers in need
+ * name, and tells control hosts how much it would send there.
+ */
 export class NamedLimits {
   #options: Options;
-  /** By start of a backend server. */
-  #known = new Map<string, Known>();
+  /** By incarnation: one start of one backend server. */
+  #tracked = new Map<string, TrackedLimit>();
   #due = new DueNews({
-    restMilliseconds: REST_MILLISECONDS,
-    mostPerSecond: MOST_DEMANDS_PER_SECOND,
+    restMilliseconds: REFRESH_MILLISECONDS,
+    mostPerSecond: MAX_DEMANDS_PER_SECOND,
   });
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
     this.#options = options;
-    options.backends$.subscribe((changed) => this.#dropEnded(changed));
-    options.news$.subscribe((news) => this.#learn(news));
+    options.backends$.subscribe((changed) =>
+      this.#dropEndedIncarnations(changed)
+    );
+    options.news$.subscribe((news) => this.#applyNews(news));
   }
 
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** An answer came from there. */
-  hear(standing: BackendStanding, facts: AnswerFacts): void {
+  /**
+   * Records the limit that an answer names. A signed answer without one ends
+   * the known limit.
+   */
+  noteAnswer(standing: BackendStanding, facts: AnswerFacts): void {
     const { limitPerSecond: perSecond, isSigned } = facts;
     const incarnation = incarnationOf(standing);
-    const names = perSecond !== undefined;
-    if (!names && !(isSigned && this.#known.has(incarnation))) return;
+    const namesLimit = perSecond !== undefined;
+    if (!namesLimit && !(isSigned && this.#tracked.has(incarnation))) return;
     const saidAt = monotonicMilliseconds();
-    this.#note({ incarnation, perSecond, saidAt }, "heard");
+    this.#record({ incarnation, perSecond, saidAt }, "heard");
   }
 
-  /** Whether it names a limit now. */
+  /** Whether the backend server has a limit now. */
   isLimited(standing: BackendStanding): boolean {
     return this.#partOf(standing) !== undefined;
   }
 
-  /** Whether one request that would best go there is sent there. */
-  admits(standing: BackendStanding): boolean {
+  /**
+   * Whether a request may be sent to the backend server that is best for it.
+   * Counts the request as wanted there.
+   */
+  requestAdmission(standing: BackendStanding): boolean {
     const part = this.#partOf(standing);
     if (part === undefined) return true;
     const now = monotonicMilliseconds();
@@ -81,23 +98,28 @@
     return part.admits(now);
   }
 
-  /** Whether a request could be sent there now. */
-  mayAdmit(standing: BackendStanding): boolean {
+  /** Whether the limit leaves room for a request now; counts nothing. */
+  hasCapacity(standing: BackendStanding): boolean {
     return this.#partOf(standing)?.hasRoom(monotonicMilliseconds()) ?? true;
   }
 
-  /** A request is sent there. */
-  take(standing: BackendStanding): void {
+  /** Counts a request that is sent to the backend server. */
+  countSend(standing: BackendStanding): void {
     this.#partOf(standing)?.take(monotonicMilliseconds());
   }
 
-  /** When there is room next, from now, milliseconds. */
-  untilRoom(standing: BackendStanding): number {
+  /**
+   * Milliseconds until the limit leaves room for a request; 0 without a limit.
+   */
+  millisecondsUntilCapacity(standing: BackendStanding): number {
     return this.#partOf(standing)?.untilRoom(monotonicMilliseconds()) ?? 0;
   }
 
-  /** A request was kept off it, and went to another or nowhere. */
-  notePassedOver(
+  /**
+   * Logs that a request was kept off a limited backend server; `to` is the one
+   * it was sent to instead, undefined for none.
+   */
+  logPassedOver(
     id: string,
     standing: BackendStanding,
     to: BackendStanding | undefined,
@@ -119,24 +141,26 @@
   }
 
   #partOf(standing: BackendStanding): LimitPart | undefined {
-    if (this.#known.size === 0) return undefined;
-    return this.#known.get(incarnationOf(standing))?.part;
+    if (this.#tracked.size === 0) return undefined;
+    return this.#tracked.get(incarnationOf(standing))?.part;
   }
 
-  #learn({ parts }: LimitNews): void {
+  #applyNews({ parts }: LimitNews): void {
     const now = monotonicMilliseconds();
     for (const told of parts) {
       const limit = decodeLimit(told, now);
-      const isKnown = this.#known.has(limit.incarnation);
-      if (limit.perSecond !== undefined || isKnown) this.#note(limit, "told");
-      this.#known.get(limit.incarnation)?.part?.tell(told.part, now);
+      const isKnown = this.#tracked.has(limit.incarnation);
+      if (limit.perSecond !== undefined || isKnown) this.#record(limit, "told");
+      this.#tracked.get(limit.incarnation)?.part?.tell(told.part, now);
     }
   }
 
-  /** Takes in what a backend server said, if nothing later is known. */
-  #note(limit: NamedLimit, how: "heard" | "told"): void {
+  /**
+   * Records what a backend server said of its limit, if nothing later is known.
+   */
+  #record(limit: NamedLimit, how: "heard" | "told"): void {
     const { incarnation, perSecond, saidAt } = limit;
-    const known = this.#known.get(incarnation);
+    const known = this.#tracked.get(incarnation);
     if (known !== undefined && known.limit.saidAt >= saidAt) return;
     const isChange = known?.limit.perSecond !== perSecond;
     const part = perSecond === undefined ? undefined : known?.part ??
@@ -146,33 +170,39 @@
         this.#options.random,
       );
     if (part !== undefined) part.perSecond = perSecond!;
-    this.#known.set(incarnation, { limit, part });
+    this.#tracked.set(incarnation, { limit, part });
     if (!isChange) return;
     this.#options.log.info("limit-named", {
       incarnation,
       per_second: perSecond ?? "any",
       how,
     });
-    this.#tell();
-    this.#timer ??= setInterval(() => this.#tell(), TELL_MILLISECONDS);
+    this.#publishDemands();
+    this.#timer ??= setInterval(
+      () => this.#publishDemands(),
+      PUBLISH_INTERVAL_MILLISECONDS,
+    );
   }
 
-  /** With nothing to tell any more, it falls silent. */
-  #tell(): void {
+  /**
+   * Publishes the demands that are due, and stops the timer once no limit is
+   * left.
+   */
+  #publishDemands(): void {
     const now = monotonicMilliseconds();
-    for (const [incarnation, { limit, part }] of [...this.#known]) {
+    for (const [incarnation, { limit, part }] of [...this.#tracked]) {
       const isOver = part === undefined &&
         now - limit.saidAt > FORGET_MILLISECONDS;
-      if (isOver) this.#known.delete(incarnation);
+      if (isOver) this.#tracked.delete(incarnation);
     }
-    if (this.#known.size === 0) {
+    if (this.#tracked.size === 0) {
       clearInterval(this.#timer);
       this.#timer = undefined;
       return;
     }
-    const wanted = [...this.#known]
+    const wanted = [...this.#tracked]
       .filter(([, { limit, part }]) =>
-        part !== undefined || now - limit.saidAt < END_MILLISECONDS
+        part !== undefined || now - limit.saidAt < END_NOTICE_MILLISECONDS
       )
       .map(([incarnation, { limit, part }]) => ({
         key: `${incarnation} ${limit.perSecond ?? "any"}`,
@@ -186,18 +216,18 @@
         wantedPerSecond: value,
       }));
     if (demands.length === 0) return;
-    this.#options.tell(create(LimitNewsSchema, { demands }));
+    this.#options.publish(create(LimitNewsSchema, { demands }));
   }
 
-  /** A limit ends with the start that named it. */
-  #dropEnded(changed: BackendStanding[]): void {
-    if (this.#known.size === 0) return;
+  /** Drops the limits of incarnations that have ended. */
+  #dropEndedIncarnations(changed: BackendStanding[]): void {
+    if (this.#tracked.size === 0) return;
     for (const standing of changed) {
       const live = incarnationOf(standing);
-      for (const incarnation of [...this.#known.keys()]) {
+      for (const incarnation of [...this.#tracked.keys()]) {
         const isSame = incarnation.startsWith(`${standing.instance}@`);
         const hasEnded = standing.state === "gone" || incarnation !== live;
-        if (isSame && hasEnded) this.#known.delete(incarnation);
+        if (isSame && hasEnded) this.#tracked.delete(incarnation);
       }
     }
   }
--- /dev/null
+++ b/packages/daemon/src/gateway/refusal_builder.ts
@@ -0,0 +1,72 @@
+import type { Blame } from "@teaselrouter/core/crashes/blame.ts";
+import { retryAfter } from "@teaselrouter/core/gateway/retry_after.ts";
+import { blameFields } from "../log/blame_fields.ts";
+import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
+import type { AdmittedCall } from "./admitted_call.ts";
+import type { CallRefusal } from "./call_refusal.ts";
+import type { GatewayContext } from "./gateway_context.ts";
+
+/**
+ * Largest share of the delay that is added as jitter: clients that were refused
+ * together must not retry together.
+ */
+const LIMIT_JITTER = 0.5;
+
+type Cause = "outage" | "overload" | "busy";
+
+/** Builds the refusals of one request, depending on whether it may have run. */
+export class RefusalBuilder {
+  /** Whether a backend server may have begun to run the request. */
+  mayHaveRun = false;
+  #context: GatewayContext;
+  #call: AdmittedCall;
+
+  constructor(context: GatewayContext, call: AdmittedCall) {
+    this.#context = context;
+    this.#call = call;
+  }
+
+  /**
+   * Refusal with a retry delay. Promises that the request has not run (503)
+   * only if no backend server can have begun it.
+   */
+  build(reason: string, cause: Cause): CallRefusal {
+    const patienceMilliseconds = this.#call.deadlineAt - this.#call.startedAt;
+    const random = this.#context.random();
+    return this.#withRetryAfter(
+      reason,
+      retryAfter({ cause, patienceMilliseconds, random }),
+    );
+  }
+
+  /**
+   * Refusal of a request that crashes the backend servers that run it: until
+   * the blame's term ends, a retry would be refused too.
+   */
+  buildBlamed(blame: Blame): CallRefusal {
+    const now = monotonicMilliseconds();
+    this.#context.log.info("blamed-request-refused", {
+      id: this.#call.id,
+      ...blameFields(blame, now),
+      outcome: this.mayHaveRun ? "unknown" : "not-run",
+    });
+    const reason = `${blame.crashes} backend servers ended under it`;
+    return this.#withRetryAfter(reason, blame.endsAt - now);
+  }
+
+  /**
+   * Refusal for when all eligible backend servers have used up their limits.
+   */
+  buildLimited(waitMilliseconds: number): CallRefusal {
+    return this.#withRetryAfter(
+      "its backend servers have named limits",
+      waitMilliseconds * (1 + LIMIT_JITTER * this.#context.random()),
+    );
+  }
+
+  #withRetryAfter(reason: string, retryAfterMilliseconds: number): CallRefusal {
+    return this.mayHaveRun
+      ? { status: 502, reason }
+      : { status: 503, reason, retryAfterMilliseconds };
+  }
+}
--- a/packages/daemon/src/gateway/refuse_call.ts
+++ b/packages/daemon/src/gateway/refuse_call.ts
@@ -1,10 +1,13 @@
 import type { ServerResponse } from "node:http";
 import type { CallRefusal } from "./call_refusal.ts";
 
-/** Whoever sends heads so large would go on doing so on this connection. */
+/**
+ * The connection is closed after this status: a client that sends headers this
+ * large would go on sending them.
+ */
 const CLOSING_STATUS = 431;
 
-/** Answers a request with the system's own refusal, in plain words. */
+/** Sends a refusal of the gateway's own, as plain text. */
 export function refuseCall(
   response: ServerResponse,
   refusal: CallRefusal,
--- a/packages/daemon/src/gateway/silence_watch.ts
+++ b/packages/daemon/src/gateway/silence_watch.ts
@@ -1,40 +1,44 @@
-/** How often it is looked: a fraction of the time that counts as silence. */
-const LOOK_MILLISECONDS = 200;
+/** Interval of the checks: a fraction of the time that counts as silence. */
+const CHECK_INTERVAL_MILLISECONDS = 200;
 
-type Watched = {
+type WatchedAttempt = {
   /** Whether the backend server has stopped answering altogether. */
   isSilent: () => boolean;
-  /** Whether the request would be sent on if this attempt were given up. */
-  mayGoElsewhere: () => boolean;
-  giveUp: () => void;
+  /**
+   * Whether the request would be sent elsewhere if this attempt were aborted.
+   */
+  canFailOver: () => boolean;
+  abort: () => void;
 };
 
 /**
- * Gives attempts up when their backend server falls silent and the request
- * can go on elsewhere. Where it can't, silence is no reason to end it. One
- * timer looks at all: a timer each would wake the process for every request
- * under way.
+ * Aborts attempts whose backend server has fallen silent, if the request can be
+ * sent elsewhere; otherwise silence is no reason to end it. One timer checks
+ * all attempts: one each would wake the process for every request in flight.
  */
 export class SilenceWatch {
-  #watched = new Set<Watched>();
+  #watched = new Set<WatchedAttempt>();
   #timer: NodeJS.Timeout | undefined;
 
-  /** @returns ends the watch. */
-  watch(watched: Watched): () => void {
+  /** @returns a function that ends the watch. */
+  watch(watched: WatchedAttempt): () => void {
     this.#watched.add(watched);
-    this.#timer ??= setInterval(() => this.#look(), LOOK_MILLISECONDS);
-    return () => this.#leave(watched);
+    this.#timer ??= setInterval(
+      () => this.#abortSilent(),
+      CHECK_INTERVAL_MILLISECONDS,
+    );
+    return () => this.#remove(watched);
   }
 
-  #look(): void {
+  #abortSilent(): void {
     for (const watched of [...this.#watched]) {
-      if (!watched.isSilent() || !watched.mayGoElsewhere()) continue;
-      this.#leave(watched);
-      watched.giveUp();
+      if (!watched.isSilent() || !watched.canFailOver()) continue;
+      this.#remove(watched);
+      watched.abort();
     }
   }
 
-  #leave(watched: Watched): void {
+  #remove(watched: WatchedAttempt): void {
     this.#watched.delete(watched);
     if (this.#watched.size > 0) return;
     clearInterval(this.#timer);
--- a/packages/daemon/src/gateway/start_hold.ts
+++ b/packages/daemon/src/gateway/start_hold.ts
@@ -1,32 +1,39 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
 /**
- * Longest that a request is held. Clients give a silent stream up after 2.4 s:
- * what is left has to do for the engine's queue and the prompt.
+ * Longest time that a request is held. Clients give up a silent stream after
+ * 2.4 s: the rest has to suffice for the engine's queue and the prompt.
  */
-const HOLD_MILLISECONDS = 1_500;
+const MAX_HOLD_MILLISECONDS = 1_500;
 /**
- * After the first configuration is known: backend servers announce themselves
- * every 1.2 s, to control hosts that may have lost all they were told.
+ * Time after the first configuration in which requests are still held: backend
+ * servers announce themselves every 1.2 s, to control hosts that may have lost
+ * their state.
  */
 const SETTLE_MILLISECONDS = 1_500;
-/** News come in dozens; those held look at them together. */
+/** News arrives in bursts of dozens; held requests are woken once a burst. */
 const GATHER_MILLISECONDS = 50;
-/** What a host takes in within the hold at several times its usual load. */
-const MOST_HELD = 512;
+/**
+ * Requests that a host receives within the hold at several times its usual
+ * load.
+ */
+const MAX_HELD_REQUESTS = 512;
 
 type Options = {
-  /** When the first configuration was known; undefined before. */
+  /**
+   * When the first configuration was received, monotonic milliseconds;
+   * undefined before.
+   */
   configuredAt: () => number | undefined;
   isStopping: () => boolean;
 };
 
 /**
- * Holds requests that reach a gateway just after its start, until it knows
- * what to do with them. Behind an outage of a whole system the gateways are up
- * a second or two ahead of the control hosts that tell them where requests go,
- * and clients ask only once or twice more: most of those refused then have
- * spent their last try, though they could be answered a second later.
+ * Holds requests that reach a gateway just after its start, until it can route
+ * them. After an outage of the whole system the gateways are up a second or two
+ * before the control hosts that tell them where requests go, and clients try
+ * only once or twice more: most of those refused then have used their last
+ * attempt, though they could be answered a second later.
  */
 export class StartHold {
   #options: Options;
@@ -37,7 +44,7 @@
     this.#options = options;
   }
 
-  /** Something was learned that may help those held. */
+  /** Wakes the held requests: news has arrived that may let them be routed. */
   noteNews(): void {
     if (this.#held.size === 0) return;
     this.#timer ??= setTimeout(() => {
@@ -47,13 +54,13 @@
   }
 
   /**
-   * Waits for news; false at once when there is nothing to wait for, or when
-   * the request has been held for long enough.
+   * Waits for news, or until the request has been held for the longest time.
+   * Returns false at once if the request may not be held any longer.
    *
-   * @param since when the request came, monotonic milliseconds.
+   * @param arrivedAt when the request arrived, monotonic milliseconds.
    */
-  async wait(since: number): Promise<boolean> {
-    const left = since + HOLD_MILLISECONDS - monotonicMilliseconds();
+  async wait(arrivedAt: number): Promise<boolean> {
+    const left = arrivedAt + MAX_HOLD_MILLISECONDS - monotonicMilliseconds();
     if (left <= 0 || !this.#mayHold()) return false;
     await new Promise<void>((resolve) => {
       const timer = setTimeout(() => wake(), left);
@@ -69,7 +76,7 @@
 
   #mayHold(): boolean {
     const { configuredAt, isStopping } = this.#options;
-    if (isStopping() || this.#held.size >= MOST_HELD) return false;
+    if (isStopping() || this.#held.size >= MAX_HELD_REQUESTS) return false;
     const configured = configuredAt();
     return configured === undefined ||
       monotonicMilliseconds() - configured < SETTLE_MILLISECONDS;
--- a/packages/daemon/src/gateway/start_hold_test.ts
+++ b/packages/daemon/src/gateway/start_hold_test.ts
@@ -3,10 +3,10 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import { StartHold } from "./start_hold.ts";
 
-// All hosts lose power. The gateways are back a second ahead of the control
-// hosts and refuse whatever comes. Clients whose first try found no host at
-// all have then spent their second, and see a failure, though the system
-// serves again before their time is over.
+// After a power loss of all hosts the gateways are back a second before the
+// control hosts. Guards against refusing all requests meanwhile: clients whose
+// first attempt found no host have then used their second, and fail, though the
+// system serves again before their deadline.
 test("a request is held until the first configuration is known", async () => {
   let configuredAt: number | undefined = undefined;
   const hold = new StartHold({
@@ -19,7 +19,7 @@
   assert.equal(await waiting, true);
 });
 
-test("nothing is held for long, nor by a gateway that has settled", async () => {
+test("no request is held for long, nor by a gateway that has settled", async () => {
   const now = monotonicMilliseconds();
   const unknown = new StartHold({
     configuredAt: () => undefined,
@@ -38,7 +38,7 @@
   assert.equal(await stopping.wait(now), false);
 });
 
-test("no more are held than a start may bring", async () => {
+test("the number of held requests is bounded", async () => {
   const hold = new StartHold({
     configuredAt: () => undefined,
     isStopping: () => false,
--- a/packages/daemon/src/gateway/stream_relay.ts
+++ b/packages/daemon/src/gateway/stream_relay.ts
@@ -7,39 +7,48 @@
 
 type Options = {
   response: ServerResponse;
-  /** Pass on whole events only, so that another can go on behind them. */
+  /**
+   * Forward whole events only, so that another backend server can resume after
+   * them.
+   */
   wholeEvents: boolean;
 };
 
 /**
- * Passes an answer's body on as it comes. What a broken backend server began
- * can be gone on with by another: the client sees one body.
+ * Forwards an answer's body as it arrives. Another backend server can resume a
+ * body that broke off: the client sees one body.
  */
 export class StreamRelay {
   #options: Options;
   #splitter = new EventSplitter();
-  /** Id of the last event that was passed on; undefined before the first. */
+  /** Id of the last event that was forwarded; undefined before the first. */
   lastEventId: string | undefined;
-  /** Monotonic milliseconds of the first bytes passed on; undefined before. */
-  firstPassedAt: number | undefined;
+  /**
+   * When the first bytes were forwarded, monotonic milliseconds; undefined
+   * before.
+   */
+  firstWrittenAt: number | undefined;
 
   constructor(options: Options) {
     this.#options = options;
   }
 
-  /** Whether what the client has seen ends where another can go on. */
-  get canBeGoneOnWith(): boolean {
+  /**
+   * Whether the client's part of the body ends where another backend server can
+   * resume.
+   */
+  get canResume(): boolean {
     return this.#options.wholeEvents &&
-      (this.firstPassedAt === undefined || this.lastEventId !== undefined);
+      (this.firstWrittenAt === undefined || this.lastEventId !== undefined);
   }
 
-  /** Passes one backend server's body on to its end or its break. */
+  /** Forwards one backend server's body until it ends or breaks off. */
   relay(message: IncomingMessage): Promise<RelayEnd> {
     this.#splitter = new EventSplitter();
     return new Promise((resolve) => {
-      message.on("data", (bytes: Buffer) => this.#pass(message, bytes));
-      // Who read the first part has paused it; a listener alone does not start
-      // it again, and the rest would never come.
+      message.on("data", (bytes: Buffer) => this.#forwardBytes(message, bytes));
+      // Buffering of the first part has paused the message. A new listener
+      // alone doesn't resume it, and the rest would never arrive.
       message.resume();
       message.once("end", () => {
         const whole = message.complete;
@@ -51,7 +60,7 @@
     });
   }
 
-  #pass(message: IncomingMessage, bytes: Buffer): void {
+  #forwardBytes(message: IncomingMessage, bytes: Buffer): void {
     if (!this.#options.wholeEvents) return this.#write(message, bytes);
     const whole = this.#splitter.take(bytes);
     this.lastEventId = whole.lastId ?? this.lastEventId;
@@ -61,7 +70,7 @@
   #write(message: IncomingMessage, bytes: Buffer): void {
     const { response } = this.#options;
     if (bytes.length === 0 || response.destroyed) return;
-    this.firstPassedAt ??= monotonicMilliseconds();
+    this.firstWrittenAt ??= monotonicMilliseconds();
     if (response.write(bytes)) return;
     message.pause();
     response.once("drain", () => message.resume());
