--- a/packages/core/src/spread/chunk_ranking.ts
+++ b/packages/core/src/spread/chunk_ranking.ts
@@ -1,6 +1,6 @@
 import type { SpreadTable } from "./spread_table.ts";
 
-/** Orders the chunks that a host lacks: the lowest rank goes first. */
+/** Ranks the chunks that a host is missing; the lowest is fetched first. */
 export interface ChunkRanking {
   rank(table: SpreadTable, chunk: number): number;
 }
--- a/packages/core/src/spread/chunk_set.ts
+++ b/packages/core/src/spread/chunk_set.ts
@@ -1,4 +1,4 @@
-/** Which chunks of one version are held. */
+/** Tracks which chunks of one version a host holds. */
 export class ChunkSet {
   #held: Uint8Array;
   #count = 0;
@@ -23,6 +23,7 @@
     return this.#held[chunk] === 1;
   }
 
+  /** Returns false if the chunk is out of range or held already. */
   add(chunk: number): boolean {
     if (chunk >= this.total || this.has(chunk)) return false;
     this.#held[chunk] = 1;
@@ -30,18 +31,18 @@
     return true;
   }
 
-  /** Up to `limit` missing chunks, from `start` on and around. */
+  /** Returns up to `limit` missing chunks from `start`, wrapping around. */
   missingFrom(start: number, limit: number): number[] {
     const chunks: number[] = [];
-    let at = this.#held.indexOf(0, start);
-    while (at >= 0 && chunks.length < limit) {
-      chunks.push(at);
-      at = this.#held.indexOf(0, at + 1);
+    let chunk = this.#held.indexOf(0, start);
+    while (chunk >= 0 && chunks.length < limit) {
+      chunks.push(chunk);
+      chunk = this.#held.indexOf(0, chunk + 1);
     }
-    at = this.#held.indexOf(0);
-    while (at >= 0 && at < start && chunks.length < limit) {
-      chunks.push(at);
-      at = this.#held.indexOf(0, at + 1);
+    chunk = this.#held.indexOf(0);
+    while (chunk >= 0 && chunk < start && chunks.length < limit) {
+      chunks.push(chunk);
+      chunk = this.#held.indexOf(0, chunk + 1);
     }
     return chunks;
   }
--- a/packages/core/src/spread/default_spread_options.ts
+++ b/packages/core/src/spread/default_spread_options.ts
@@ -1,10 +1,10 @@
-/** How many transfers the planner keeps under way, by measurement. */
+/** Default sample sizes and limits on concurrent transfers of the planner. */
 export const defaultSpreadOptions = {
-  chunksLookedAt: 16,
-  holdersLookedAt: 8,
+  chunkSampleSize: 16,
+  holderSampleSize: 8,
   downloadsPerHost: 3,
-  crossingsPerHost: 4,
+  remoteDownloadsPerHost: 4,
   uploadsPerHost: 3,
   originTransfers: 2,
-  regionTransfers: 2,
+  transfersPerRemoteDataCentre: 2,
 } as const;
--- a/packages/core/src/spread/holder_list.ts
+++ b/packages/core/src/spread/holder_list.ts
@@ -1,4 +1,7 @@
-/** The holders of one chunk: quick to add to and to pick from at random. */
+/**
+ * Lists the hosts that hold one chunk. Adding a holder and reading one by its
+ * index take constant time.
+ */
 export class HolderList {
   #names: string[] = [];
 
@@ -11,14 +14,14 @@
   }
 
   remove(name: string): void {
-    const at = this.#names.indexOf(name);
-    if (at < 0) return;
+    const index = this.#names.indexOf(name);
+    if (index < 0) return;
     const last = this.#names.pop()!;
-    if (at < this.#names.length) this.#names[at] = last;
+    if (index < this.#names.length) this.#names[index] = last;
   }
 
-  /** The holder at a place that wraps around. */
-  at(place: number): string {
-    return this.#names[place % this.#names.length]!;
+  /** Returns the holder at `index`, which wraps around at the list's end. */
+  at(index: number): string {
+    return this.#names[index % this.#names.length]!;
   }
 }
--- a/packages/core/src/spread/in_order_ranking.ts
+++ b/packages/core/src/spread/in_order_ranking.ts
@@ -1,7 +1,10 @@
 import type { ChunkRanking } from "./chunk_ranking.ts";
 import type { SpreadTable } from "./spread_table.ts";
 
-/** First chunk first, as a plain copy does; lost against rarest first. */
+/**
+ * Ranks chunks by index, as a sequential copy does. A baseline for experiments,
+ * in which it performed worse than rarest first.
+ */
 export class InOrderRanking implements ChunkRanking {
   rank(_table: SpreadTable, chunk: number): number {
     return chunk;
--- a/packages/core/src/spread/random_ranking.ts
+++ b/packages/core/src/spread/random_ranking.ts
@@ -1,6 +1,9 @@
 import type { ChunkRanking } from "./chunk_ranking.ts";
 
-/** Any chunk, whatever its copies; lost against rarest first. */
+/**
+ * Ranks chunks at random, regardless of how many copies exist. A baseline for
+ * experiments, in which it performed worse than rarest first.
+ */
 export class RandomRanking implements ChunkRanking {
   #random: () => number;
 
--- a/packages/core/src/spread/rendezvous_owner.ts
+++ b/packages/core/src/spread/rendezvous_owner.ts
@@ -1,16 +1,17 @@
 import { hashText } from "../random/hash_text.ts";
 
 /**
- * Picks one of `names` for `key` by rendezvous hashing: all who know the
- * same names pick the same, and a name that goes moves only its own keys.
+ * Chooses the one of `names` that owns `key` by rendezvous hashing. All
+ * processes with the same names choose the same owner, and removing a name
+ * reassigns only its own keys. Returns an empty string if `names` is empty.
  */
 export function rendezvousOwner(key: string, names: string[]): string {
   let owner = "";
-  let best = -1;
+  let bestScore = -1;
   for (const name of names) {
     const score = hashText(`${name}\n${key}`);
-    if (score > best || (score === best && name < owner)) {
-      [owner, best] = [name, score];
+    if (score > bestScore || (score === bestScore && name < owner)) {
+      [owner, bestScore] = [name, score];
     }
   }
   return owner;
--- a/packages/core/src/spread/source_faults.ts
+++ b/packages/core/src/spread/source_faults.ts
@@ -1,21 +1,24 @@
 const ORIGIN = "";
 /**
- * There is only one origin: a host that could not draw from it tries again
- * soon, where it would leave a peer's faults to others for longer.
+ * The longest time for which a host avoids the origin after a failed fetch.
+ * There is only one origin, so a host retries it sooner than a failed peer,
+ * which other peers can replace.
  */
-const ORIGIN_AVOIDED_MILLISECONDS = 300;
-/** Hosts that complain before a source is put aside for all. */
-const COMPLAINTS_TO_PUT_ASIDE = 2;
+const ORIGIN_AVOIDANCE_MILLISECONDS = 300;
+/** Hosts that must report a failure before all hosts avoid the source. */
+const REPORTERS_TO_QUARANTINE = 2;
 
-type Complaints = { hosts: Set<string>; until: number };
+type FailureReports = { hosts: Set<string>; until: number };
 
 /**
- * Sources whose chunks failed: stalled, damaged or refused. One host's
- * failure may be its own link's; when a second host complains, the source is
- * put aside for all, or each would wait for its own timeout in turn.
+ * Records sources whose chunk transfers stalled, were refused or delivered
+ * damaged chunks. A failure at one host may be caused by that host's own link,
+ * so only that host avoids the source. Once a second host reports a failure,
+ * the source is quarantined for all hosts; otherwise each of them would wait
+ * for its own timeout in turn.
  */
 export class SourceFaults {
-  #bySource = new Map<string, Complaints>();
+  #reportsBySource = new Map<string, FailureReports>();
 
   record(
     host: string,
@@ -23,25 +26,26 @@
     times: { now: number; until: number },
   ): void {
     const until = source === ORIGIN
-      ? Math.min(times.until, times.now + ORIGIN_AVOIDED_MILLISECONDS)
+      ? Math.min(times.until, times.now + ORIGIN_AVOIDANCE_MILLISECONDS)
       : times.until;
-    const complaints = this.#bySource.get(source) ??
+    const reports = this.#reportsBySource.get(source) ??
       { hosts: new Set(), until: 0 };
-    complaints.hosts.add(host);
-    complaints.until = Math.max(complaints.until, until);
-    this.#bySource.set(source, complaints);
+    reports.hosts.add(host);
+    reports.until = Math.max(reports.until, until);
+    this.#reportsBySource.set(source, reports);
   }
 
   isAvoided(host: string, source: string, now: number): boolean {
-    const complaints = this.#bySource.get(source);
-    if (complaints === undefined) return false;
-    if (complaints.until <= now) {
-      this.#bySource.delete(source);
+    const reports = this.#reportsBySource.get(source);
+    if (reports === undefined) return false;
+    if (reports.until <= now) {
+      this.#reportsBySource.delete(source);
       return false;
     }
-    // There is only one origin: each host finds out for itself.
-    const byMany = source !== ORIGIN &&
-      complaints.hosts.size >= COMPLAINTS_TO_PUT_ASIDE;
-    return byMany || complaints.hosts.has(host);
+    // The origin is never quarantined, since there is only one: a host avoids
+    // it only after a failure of its own.
+    const isQuarantined = source !== ORIGIN &&
+      reports.hosts.size >= REPORTERS_TO_QUARANTINE;
+    return isQuarantined || reports.hosts.has(host);
   }
 }
--- a/packages/core/src/spread/spread_host_row.ts
+++ b/packages/core/src/spread/spread_host_row.ts
@@ -1,15 +1,15 @@
 import type { ChunkSet } from "./chunk_set.ts";
 
-/** A backend server host as the spread's planner knows it. */
+/** The planner's view of one backend server host. */
 export type SpreadHostRow = {
   host: string;
   dataCentre: string;
-  /** Where other agents fetch chunks from it. */
+  /** Address from which other agents fetch this host's chunks. */
   address: string;
   held: ChunkSet;
-  /** Whether it fetches by this coordinator's plans. */
+  /** Whether the host fetches chunks by this coordinator's plans. */
   followsPlans: boolean;
   linkBytesPerSecond: number;
-  /** It let a transfer pass its time and has said nothing since. */
+  /** Whether one of its downloads timed out and it has not reported since. */
   isStalled?: boolean;
 };
--- a/packages/core/src/spread/spread_policy.ts
+++ b/packages/core/src/spread/spread_policy.ts
@@ -1,7 +1,7 @@
 import type { ChunkAssignment } from "./chunk_assignment.ts";
 import type { SpreadTable } from "./spread_table.ts";
 
-/** Decides who fetches which chunk from whom next. */
+/** Decides which hosts fetch which chunks next, and from which sources. */
 export interface SpreadPolicy {
   plan(table: SpreadTable, now: number): ChunkAssignment[];
 }
--- a/packages/core/src/spread/spread_table.ts
+++ b/packages/core/src/spread/spread_table.ts
@@ -7,39 +7,39 @@
 const ORIGIN = "";
 
 /**
- * A chunk comes from the origin in 0.1 to 0.3 s on a thin link, from a peer
- * that gives three at once in up to 0.7 s: these are more than twice that.
+ * On a slow link, a chunk takes 0.1 to 0.3 s from the origin and up to 0.7 s
+ * from a peer with three concurrent uploads. Each timeout is more than twice
+ * the longest of these times.
  */
-const ORIGIN_MILLISECONDS = 700;
-const PEER_MILLISECONDS = 1_600;
+const ORIGIN_TIMEOUT_MILLISECONDS = 700;
+const PEER_TIMEOUT_MILLISECONDS = 1_600;
 
 type Transfer = ChunkAssignment & { startedAt: number };
 
-/** What a data centre's coordinator knows of one version's spread. */
+/** Tracks one version's spread as known to one data centre's coordinator. */
 export class SpreadTable {
   readonly version: string;
   readonly totalChunks: number;
   readonly chunkBytes: number;
   readonly dataCentre: string;
-  readonly times = new TransferTimes();
-  /** Data centres ever seen, and those with hosts now; in order. */
+  readonly transferTimes = new TransferTimes();
+  /** Data centres ever seen, and those with hosts now; both sorted. */
   knownDataCentres: string[] = [];
   liveDataCentres: string[] = [];
   #hosts = new Map<string, SpreadHostRow>();
-  #hostsOfCentre = new Map<string, number>();
-  #transfers = new Map<string, Map<number, Transfer>>();
-  #uploads = new Map<string, number>();
-  /** Transfers under way from each other data centre. */
-  #crossing = new Map<string, number>();
-  /** The host that sends here from each other data centre. */
-  #crossingSource = new Map<string, string>();
-  #crossingTo = new Map<string, number>();
-  /** Own data centre's holders of each chunk, and other ones'. */
-  #near: HolderList[];
-  #far: HolderList[];
-  #pending: Uint16Array;
-  /** Chunks that no host here holds or is fetching. */
-  #outside: number;
+  #hostCountByDataCentre = new Map<string, number>();
+  #transfersByHost = new Map<string, Map<number, Transfer>>();
+  #uploadCountBySource = new Map<string, number>();
+  /** Transfers in progress from each remote data centre to this one. */
+  #transferCountByRemoteDataCentre = new Map<string, number>();
+  /** The latest host of each remote data centre to send to this one. */
+  #senderByRemoteDataCentre = new Map<string, string>();
+  #remoteTransferCountByHost = new Map<string, number>();
+  /** Holders of each chunk, in this data centre and in the remote ones. */
+  #localHolders: HolderList[];
+  #remoteHolders: HolderList[];
+  #pendingFetches: Uint16Array;
+  #absentChunkCount: number;
   #faults = new SourceFaults();
 
   constructor(
@@ -54,33 +54,39 @@
     this.totalChunks = options.totalChunks;
     this.chunkBytes = options.chunkBytes;
     this.dataCentre = options.dataCentre;
-    const lists = () =>
+    const createHolderLists = () =>
       Array.from({ length: this.totalChunks }, () => new HolderList());
-    this.#near = lists();
-    this.#far = lists();
-    this.#pending = new Uint16Array(this.totalChunks);
-    this.#outside = this.totalChunks;
-    this.#noteDataCentres();
+    this.#localHolders = createHolderLists();
+    this.#remoteHolders = createHolderLists();
+    this.#pendingFetches = new Uint16Array(this.totalChunks);
+    this.#absentChunkCount = this.totalChunks;
+    this.#updateDataCentres();
   }
 
   get hosts(): SpreadHostRow[] {
     return [...this.#hosts.values()];
   }
 
-  /** Whether a host that follows this table's plans still lacks chunks. */
+  /** Whether a host that follows this table's plans is missing chunks. */
   get hasWork(): boolean {
     return this.hosts.some((row) => row.followsPlans && !row.held.isComplete);
   }
 
-  /** Chunks that are still to come in from outside. */
-  get outsideChunks(): number {
-    return this.#outside;
+  /**
+   * Number of chunks that no host of this data centre holds or is fetching;
+   * these must come from the origin or a remote data centre.
+   */
+  get absentChunkCount(): number {
+    return this.#absentChunkCount;
   }
 
-  /** Whether every chunk has left the origin, for here or anywhere else. */
-  get isDrawnWhole(): boolean {
-    return this.#near.every((near, chunk) =>
-      near.count > 0 || this.#far[chunk]!.count > 0
+  /**
+   * Whether every chunk has left the origin, so that a host in this data centre
+   * or in a remote one holds it.
+   */
+  get isEveryChunkHeld(): boolean {
+    return this.#localHolders.every((holders, chunk) =>
+      holders.count > 0 || this.#remoteHolders[chunk]!.count > 0
     );
   }
 
@@ -91,13 +97,16 @@
   setHost(row: SpreadHostRow): void {
     this.removeHost(row.host);
     this.#hosts.set(row.host, row);
-    const count = this.#hostsOfCentre.get(row.dataCentre) ?? 0;
-    this.#hostsOfCentre.set(row.dataCentre, count + 1);
-    if (count === 0) this.#noteDataCentres();
+    const count = this.#hostCountByDataCentre.get(row.dataCentre) ?? 0;
+    this.#hostCountByDataCentre.set(row.dataCentre, count + 1);
+    if (count === 0) this.#updateDataCentres();
     for (const chunk of row.held.held()) this.#addHolder(row, chunk);
   }
 
-  /** A host that is gone holds nothing; what it gave or got is free again. */
+  /**
+   * Removes a host and its chunks, and ends all transfers from and to it so
+   * that these chunks can be planned anew.
+   */
   removeHost(name: string): void {
     const row = this.#hosts.get(name);
     if (row === undefined) return;
@@ -108,27 +117,27 @@
     }
     const holders = this.#holderLists(row);
     for (const chunk of row.held.held()) {
-      const wasInside = this.#isInside(chunk);
+      const wasPresent = this.#isPresent(chunk);
       holders[chunk]!.remove(name);
-      this.#countOutside(chunk, wasInside);
+      this.#updateAbsentChunkCount(chunk, wasPresent);
     }
     this.#hosts.delete(name);
-    const count = this.#hostsOfCentre.get(row.dataCentre)! - 1;
+    const count = this.#hostCountByDataCentre.get(row.dataCentre)! - 1;
     if (count > 0) {
-      this.#hostsOfCentre.set(row.dataCentre, count);
+      this.#hostCountByDataCentre.set(row.dataCentre, count);
       return;
     }
-    this.#hostsOfCentre.delete(row.dataCentre);
-    this.#noteDataCentres();
+    this.#hostCountByDataCentre.delete(row.dataCentre);
+    this.#updateDataCentres();
   }
 
   addChunk(host: string, chunk: number, now: number): void {
     const row = this.#hosts.get(host);
     if (row === undefined || chunk >= this.totalChunks) return;
-    const transfer = this.#transfers.get(host)?.get(chunk);
+    const transfer = this.#transfersByHost.get(host)?.get(chunk);
     if (transfer !== undefined) {
-      const kind = this.#kindOf(transfer.source);
-      this.times.learn(kind, now - transfer.startedAt);
+      const kind = this.#sourceKind(transfer.source);
+      this.transferTimes.record(kind, now - transfer.startedAt);
     }
     if (row.held.add(chunk)) this.#addHolder(row, chunk);
     this.endTransfer(host, chunk);
@@ -136,50 +145,57 @@
 
   startTransfer(transfer: Transfer): void {
     this.endTransfer(transfer.host, transfer.chunk);
-    const wasInside = this.#isInside(transfer.chunk);
+    const wasPresent = this.#isPresent(transfer.chunk);
     this.transfersOf(transfer.host).set(transfer.chunk, transfer);
-    this.#pending[transfer.chunk]! += 1;
-    this.#countSource(transfer, 1);
-    this.#countOutside(transfer.chunk, wasInside);
+    this.#pendingFetches[transfer.chunk]! += 1;
+    this.#adjustTransferCounts(transfer, 1);
+    this.#updateAbsentChunkCount(transfer.chunk, wasPresent);
   }
 
   endTransfer(host: string, chunk: number): void {
-    const transfers = this.#transfers.get(host);
+    const transfers = this.#transfersByHost.get(host);
     const transfer = transfers?.get(chunk);
     if (transfers === undefined || transfer === undefined) return;
-    const wasInside = this.#isInside(chunk);
+    const wasPresent = this.#isPresent(chunk);
     transfers.delete(chunk);
-    this.#pending[chunk]! -= 1;
-    this.#countSource(transfer, -1);
-    this.#countOutside(chunk, wasInside);
+    this.#pendingFetches[chunk]! -= 1;
+    this.#adjustTransferCounts(transfer, -1);
+    this.#updateAbsentChunkCount(chunk, wasPresent);
   }
 
   /**
-   * Ends transfers that have taken too long. A host that froze reports no
-   * failure: what it was to draw would stay pending, and every other host
-   * would wait for it. It gets nothing more until it is heard again.
+   * Ends transfers that have exceeded their timeout. A frozen host reports no
+   * failure: the chunks it was to fetch would stay pending, and every other
+   * host would wait for them. The host is marked as stalled and assigned
+   * nothing more until it reports again.
    */
   endOverdue(now: number): void {
     for (const { host, chunk, source, startedAt } of this.allTransfers()) {
-      const most = source === ORIGIN ? ORIGIN_MILLISECONDS : PEER_MILLISECONDS;
-      if (now - startedAt <= most) continue;
+      const timeout = source === ORIGIN
+        ? ORIGIN_TIMEOUT_MILLISECONDS
+        : PEER_TIMEOUT_MILLISECONDS;
+      if (now - startedAt <= timeout) continue;
       this.endTransfer(host, chunk);
       this.#hosts.get(host)!.isStalled = true;
     }
   }
 
+  /** Marks a host that sent a report as no longer stalled. */
   noteHeard(host: string): void {
     const row = this.#hosts.get(host);
     if (row !== undefined) row.isStalled = false;
   }
 
-  /** A host reported that a fetch failed: not that source again for a while. */
+  /**
+   * Ends a transfer that its host reported as failed. The host avoids the
+   * source until `times.until`, or for a shorter time if it is the origin.
+   */
   failTransfer(
     host: string,
     chunk: number,
     times: { now: number; until: number },
   ): void {
-    const transfer = this.#transfers.get(host)?.get(chunk);
+    const transfer = this.#transfersByHost.get(host)?.get(chunk);
     if (transfer === undefined) return;
     this.#faults.record(host, transfer.source, times);
     this.endTransfer(host, chunk);
@@ -190,95 +206,107 @@
   }
 
   transfersOf(host: string): Map<number, Transfer> {
-    let transfers = this.#transfers.get(host);
+    let transfers = this.#transfersByHost.get(host);
     if (transfers === undefined) {
       transfers = new Map();
-      this.#transfers.set(host, transfers);
+      this.#transfersByHost.set(host, transfers);
     }
     return transfers;
   }
 
   allTransfers(): Transfer[] {
-    return [...this.#transfers.values()].flatMap((transfers) => [
+    return [...this.#transfersByHost.values()].flatMap((transfers) => [
       ...transfers.values(),
     ]);
   }
 
   uploadsOf(source: string): number {
-    return this.#uploads.get(source) ?? 0;
+    return this.#uploadCountBySource.get(source) ?? 0;
   }
 
-  /** The host that sends here from a data centre now, if one does. */
-  crossingSource(dataCentre: string): string | undefined {
-    return this.crossingsFrom(dataCentre) > 0
-      ? this.#crossingSource.get(dataCentre)
+  /**
+   * Returns the host of a remote data centre that is sending to this one, or
+   * undefined if none is.
+   */
+  senderFrom(dataCentre: string): string | undefined {
+    return this.remoteTransfersFrom(dataCentre) > 0
+      ? this.#senderByRemoteDataCentre.get(dataCentre)
       : undefined;
   }
 
-  crossingsFrom(dataCentre: string): number {
-    return this.#crossing.get(dataCentre) ?? 0;
+  remoteTransfersFrom(dataCentre: string): number {
+    return this.#transferCountByRemoteDataCentre.get(dataCentre) ?? 0;
   }
 
-  /** Transfers to a host from other data centres. */
-  crossingsTo(host: string): number {
-    return this.#crossingTo.get(host) ?? 0;
+  /** Number of transfers in progress to a host from remote data centres. */
+  remoteTransfersTo(host: string): number {
+    return this.#remoteTransferCountByHost.get(host) ?? 0;
   }
 
-  nearHolders(chunk: number): HolderList {
-    return this.#near[chunk]!;
+  localHolders(chunk: number): HolderList {
+    return this.#localHolders[chunk]!;
   }
 
-  farHolders(chunk: number): HolderList {
-    return this.#far[chunk]!;
+  remoteHolders(chunk: number): HolderList {
+    return this.#remoteHolders[chunk]!;
   }
 
-  pendingOf(chunk: number): number {
-    return this.#pending[chunk]!;
+  pendingFetchesOf(chunk: number): number {
+    return this.#pendingFetches[chunk]!;
   }
 
-  #noteDataCentres(): void {
-    const live = new Set([this.dataCentre, ...this.#hostsOfCentre.keys()]);
+  #updateDataCentres(): void {
+    const live = new Set([
+      this.dataCentre,
+      ...this.#hostCountByDataCentre.keys(),
+    ]);
     this.liveDataCentres = [...live].sort();
     this.knownDataCentres = [...new Set([...live, ...this.knownDataCentres])]
       .sort();
   }
 
-  #isInside(chunk: number): boolean {
-    return this.#near[chunk]!.count > 0 || this.#pending[chunk]! > 0;
+  #isPresent(chunk: number): boolean {
+    return this.#localHolders[chunk]!.count > 0 ||
+      this.#pendingFetches[chunk]! > 0;
   }
 
-  #countOutside(chunk: number, wasInside: boolean): void {
-    const isInside = this.#isInside(chunk);
-    if (isInside === wasInside) return;
-    this.#outside += isInside ? -1 : 1;
+  #updateAbsentChunkCount(chunk: number, wasPresent: boolean): void {
+    const isPresent = this.#isPresent(chunk);
+    if (isPresent === wasPresent) return;
+    this.#absentChunkCount += isPresent ? -1 : 1;
   }
 
-  #countSource(transfer: Transfer, change: number): void {
+  #adjustTransferCounts(transfer: Transfer, change: number): void {
     const { host, source } = transfer;
-    this.#uploads.set(source, this.uploadsOf(source) + change);
-    if (this.#kindOf(source) !== "far") return;
+    this.#uploadCountBySource.set(source, this.uploadsOf(source) + change);
+    if (this.#sourceKind(source) !== "remote") return;
     const { dataCentre } = this.#hosts.get(source)!;
-    const crossing = this.crossingsFrom(dataCentre) + change;
-    this.#crossing.set(dataCentre, crossing);
-    if (change > 0) this.#crossingSource.set(dataCentre, source);
-    this.#crossingTo.set(host, this.crossingsTo(host) + change);
+    const transferCount = this.remoteTransfersFrom(dataCentre) + change;
+    this.#transferCountByRemoteDataCentre.set(dataCentre, transferCount);
+    if (change > 0) this.#senderByRemoteDataCentre.set(dataCentre, source);
+    this.#remoteTransferCountByHost.set(
+      host,
+      this.remoteTransfersTo(host) + change,
+    );
   }
 
-  #kindOf(source: string): "near" | "far" | "origin" {
+  #sourceKind(source: string): "local" | "remote" | "origin" {
     if (source === ORIGIN) return "origin";
     const row = this.#hosts.get(source);
     return row === undefined || row.dataCentre === this.dataCentre
-      ? "near"
-      : "far";
+      ? "local"
+      : "remote";
   }
 
   #holderLists(row: SpreadHostRow): HolderList[] {
-    return row.dataCentre === this.dataCentre ? this.#near : this.#far;
+    return row.dataCentre === this.dataCentre
+      ? this.#localHolders
+      : this.#remoteHolders;
   }
 
   #addHolder(row: SpreadHostRow, chunk: number): void {
-    const wasInside = this.#isInside(chunk);
+    const wasPresent = this.#isPresent(chunk);
     this.#holderLists(row)[chunk]!.add(row.host);
-    this.#countOutside(chunk, wasInside);
+    this.#updateAbsentChunkCount(chunk, wasPresent);
   }
 }
--- a/packages/core/src/spread/spread_table_test.ts
+++ b/packages/core/src/spread/spread_table_test.ts
@@ -40,10 +40,10 @@
   });
 }
 
-test("a host that freezes holds up nobody's chunks", () => {
-  // Story: a host freezes while it draws chunks from the origin. It reports
-  // no failure, so its draws stay pending; the others, which hold everything
-  // else, would wait until it wakes.
+test("a frozen host does not block the other hosts' chunks", () => {
+  // A host freezes while it fetches chunks from the origin and reports no
+  // failure. If its fetches stayed pending, the other hosts, which hold all
+  // other chunks, would wait until it recovers.
   const table = tableWith(["frozen", "awake"]);
   const plan = policy();
   const first = plan.plan(table, 0);
@@ -68,9 +68,9 @@
   assert.ok(plan.plan(table, 3_200).some(({ host }) => host === "frozen"));
 });
 
-test("an origin that refuses is asked again soon, a bad peer later", () => {
-  // Story: the weight store is down for some seconds. Each host finds out for
-  // itself, and none may still stay away from it once it is back.
+test("a failed origin is retried soon, a failed peer later", () => {
+  // The weight store is down for some seconds. Each host detects this by its
+  // own failures, and none may still avoid the store once it is back.
   const table = tableWith(["a", "b"]);
   const until = 5_000;
   table.startTransfer({ host: "a", chunk: 0, source: ORIGIN, startedAt: 0 });
@@ -83,17 +83,17 @@
   assert.equal(table.isAvoided("a", "b", 400), true);
 });
 
-// Pattern: each host's link out carries what another's link in takes, and a
-// little less wherever two want the same. The origin, whose link is idle once
-// every chunk has left it, makes up for that.
-test("in haste the origin helps, but not before all chunks have left it", () => {
-  const fromOrigin = (weighing: SpreadWeighing, drawn: number) => {
+// Each host's uplink carries what another host's downlink takes, and a little
+// less wherever two hosts want the same. The origin's link, which is idle once
+// every chunk has left the origin, makes up for the difference.
+test("in haste the origin helps only once hosts hold all chunks", () => {
+  const fromOrigin = (weighing: SpreadWeighing, heldChunks: number) => {
     const table = tableWith(["full", "a", "b", "c"]);
-    for (let chunk = 0; chunk < drawn; chunk += 1) {
+    for (let chunk = 0; chunk < heldChunks; chunk += 1) {
       table.addChunk("full", chunk, 0);
     }
     const last = table.totalChunks - 1;
-    if (drawn <= last) {
+    if (heldChunks <= last) {
       table.startTransfer({
         host: "full",
         chunk: last,
@@ -110,10 +110,10 @@
   assert.equal(fromOrigin("haste", total - 1), 0);
 });
 
-// Pattern: a control host keeps a plan for every data centre, and hears of
-// every chunk. Guards against planning where nobody follows or lacks anything,
-// and against leaving out who has just lost its chunks.
-test("only a follower that lacks chunks makes work", () => {
+// A control host keeps a table for every data centre and receives every chunk
+// report. Guards against planning where no host follows the plans or is missing
+// chunks, and against leaving out a host that has just lost its chunks.
+test("a table has work only while a follower is missing chunks", () => {
   const table = tableWith(["a", "b"]);
   assert.equal(table.hasWork, true);
   table.host("a")!.followsPlans = false;
--- a/packages/core/src/spread/swap_policy.ts
+++ b/packages/core/src/spread/swap_policy.ts
@@ -1,6 +1,6 @@
 import type { ChunkAssignment } from "./chunk_assignment.ts";
 import type { ChunkRanking } from "./chunk_ranking.ts";
-import { drawingDataCentre } from "./drawing_data_centre.ts";
+import { chooseFetchingDataCentre } from "./choose_fetching_data_centre.ts";
 import type { HolderList } from "./holder_list.ts";
 import type { SpreadHostRow } from "./spread_host_row.ts";
 import type { SpreadPolicy } from "./spread_policy.ts";
@@ -13,28 +13,29 @@
   weighing: SpreadWeighing;
   random: () => number;
   ranking: ChunkRanking;
-  /** Missing chunks looked at for the rarest. */
-  chunksLookedAt: number;
-  /** Holders looked at for the least busy. */
-  holdersLookedAt: number;
-  /** Chunks that one host fetches at once. */
+  /** Missing chunks that are compared to find the lowest rank. */
+  chunkSampleSize: number;
+  /** Holders that are compared to find the least busy one. */
+  holderSampleSize: number;
+  /** Most concurrent downloads of one host from the origin and local hosts. */
   downloadsPerHost: number;
-  /** Chunks that one host fetches from other data centres besides. */
-  crossingsPerHost: number;
-  /** Chunks that one host gives at once. */
+  /** Most further concurrent downloads of one host from remote data centres. */
+  remoteDownloadsPerHost: number;
+  /** Most concurrent uploads of one host. */
   uploadsPerHost: number;
-  /** Chunks drawn at once from the origin by this data centre. */
+  /** Most concurrent transfers from the origin to this data centre. */
   originTransfers: number;
-  /** Chunks drawn at once from each other data centre. */
-  regionTransfers: number;
+  /** Most concurrent transfers from each remote data centre to this one. */
+  transfersPerRemoteDataCentre: number;
 };
 
-type Want = { host: string; chunk: number; now: number };
+type FetchRequest = { host: string; chunk: number; now: number };
 
 /**
- * Hosts of a data centre swap chunks. A chunk that no host here holds or is
- * fetching comes in once, from the origin or over a region link; the rest go
- * from host to host, each source giving a few at a time.
+ * Plans the exchange of chunks among the hosts of a data centre. A chunk that
+ * no local host holds or is fetching is fetched once, from the origin or from a
+ * remote data centre. All other transfers are between local hosts, with a few
+ * concurrent uploads per source.
  */
 export class SwapPolicy implements SpreadPolicy {
   #options: Options;
@@ -45,196 +46,225 @@
 
   plan(table: SpreadTable, now: number): ChunkAssignment[] {
     const assignments: ChunkAssignment[] = [];
-    let hungry = this.#hungryHosts(table);
-    while (hungry.length > 0) {
-      const served: SpreadHostRow[] = [];
-      for (const row of hungry) {
-        const assignment = this.#next(table, row, now);
+    let eligible = this.#eligibleHosts(table);
+    while (eligible.length > 0) {
+      const stillEligible: SpreadHostRow[] = [];
+      for (const row of eligible) {
+        const assignment = this.#nextAssignment(table, row, now);
         if (assignment === undefined) continue;
         table.startTransfer({ ...assignment, startedAt: now });
         assignments.push(assignment);
-        if (this.#hasRoom(table, row)) served.push(row);
+        if (this.#hasDownloadCapacity(table, row)) stillEligible.push(row);
       }
-      hungry = served;
+      eligible = stillEligible;
     }
     return assignments;
   }
 
-  /** Begins anywhere, so that no host is always the last to be served. */
-  #hungryHosts(table: SpreadTable): SpreadHostRow[] {
-    const hungry = table.hosts.filter((row) =>
+  /**
+   * Returns the hosts that can start another download, beginning with a random
+   * one so that no host is always served last.
+   */
+  #eligibleHosts(table: SpreadTable): SpreadHostRow[] {
+    const eligible = table.hosts.filter((row) =>
       row.followsPlans && !row.isStalled &&
       row.dataCentre === table.dataCentre &&
-      !row.held.isComplete && this.#hasRoom(table, row)
+      !row.held.isComplete && this.#hasDownloadCapacity(table, row)
     );
-    const start = Math.floor(this.#options.random() * hungry.length);
-    return [...hungry.slice(start), ...hungry.slice(0, start)];
+    const start = Math.floor(this.#options.random() * eligible.length);
+    return [...eligible.slice(start), ...eligible.slice(0, start)];
   }
 
-  /** A crossing fills little of a host's link: it is counted apart. */
-  #hasRoom(table: SpreadTable, row: SpreadHostRow): boolean {
-    const { downloadsPerHost, crossingsPerHost } = this.#options;
-    const all = table.transfersOf(row.host).size;
-    const crossings = table.crossingsTo(row.host);
-    return all - crossings < downloadsPerHost && crossings <= crossingsPerHost;
+  /** Remote downloads use little of a host's link: they are limited apart. */
+  #hasDownloadCapacity(table: SpreadTable, row: SpreadHostRow): boolean {
+    const { downloadsPerHost, remoteDownloadsPerHost } = this.#options;
+    const downloads = table.transfersOf(row.host).size;
+    const remoteDownloads = table.remoteTransfersTo(row.host);
+    return downloads - remoteDownloads < downloadsPerHost &&
+      remoteDownloads <= remoteDownloadsPerHost;
   }
 
-  #next(
+  #nextAssignment(
     table: SpreadTable,
     row: SpreadHostRow,
     now: number,
   ): ChunkAssignment | undefined {
-    for (const chunk of this.#wanted(table, row)) {
-      const source = this.#source(table, { host: row.host, chunk, now });
+    for (const chunk of this.#candidateChunks(table, row)) {
+      const source = this.#chooseSource(table, { host: row.host, chunk, now });
       if (source !== undefined) return { host: row.host, chunk, source };
     }
     return undefined;
   }
 
-  /** Chunks that the host lacks, best rank first, from a random sample. */
-  #wanted(table: SpreadTable, row: SpreadHostRow): number[] {
-    const { random, chunksLookedAt, ranking } = this.#options;
+  /**
+   * Returns some of the chunks that the host is missing and not yet fetching,
+   * sampled from a random position, lowest rank first.
+   */
+  #candidateChunks(table: SpreadTable, row: SpreadHostRow): number[] {
+    const { random, chunkSampleSize, ranking } = this.#options;
     const fetching = table.transfersOf(row.host);
     const start = Math.floor(random() * row.held.total);
     const rankOf = (chunk: number) => ranking.rank(table, chunk);
     return row.held
-      .missingFrom(start, chunksLookedAt + fetching.size)
+      .missingFrom(start, chunkSampleSize + fetching.size)
       .filter((chunk) => !fetching.has(chunk))
       .sort((left, right) => rankOf(left) - rankOf(right));
   }
 
-  #source(table: SpreadTable, want: Want): string | undefined {
-    const holders = table.nearHolders(want.chunk);
+  #chooseSource(table: SpreadTable, request: FetchRequest): string | undefined {
+    const holders = table.localHolders(request.chunk);
     if (holders.count > 0) {
-      const near = this.#leastBusy(table, holders, want);
-      if (near !== undefined) return near;
-      if (this.#options.weighing === "haste" && table.isDrawnWhole) {
-        return this.#fromOrigin(table, want);
+      const localHolder = this.#leastBusyHolder(table, holders, request);
+      if (localHolder !== undefined) return localHolder;
+      if (this.#options.weighing === "haste" && table.isEveryChunkHeld) {
+        return this.#originSource(table, request);
       }
-      if (!this.#allAvoided(table, holders, want)) return undefined;
+      if (!this.#areAllAvoided(table, holders, request)) return undefined;
     }
-    if (table.pendingOf(want.chunk) > 0) return undefined;
-    const originFirst = this.#options.weighing === "time" &&
-      this.#ownerOf(table, want.chunk) === table.dataCentre;
-    return originFirst
-      ? this.#fromOrigin(table, want) ?? this.#fromFar(table, want)
-      : this.#fromFar(table, want) ?? this.#fromOrigin(table, want);
+    if (table.pendingFetchesOf(request.chunk) > 0) return undefined;
+    const prefersOrigin = this.#options.weighing === "time" &&
+      this.#assignedDataCentre(table, request.chunk) === table.dataCentre;
+    return prefersOrigin
+      ? this.#originSource(table, request) ?? this.#remoteSource(table, request)
+      : this.#remoteSource(table, request) ??
+        this.#originSource(table, request);
   }
 
-  #leastBusy(
+  #leastBusyHolder(
     table: SpreadTable,
     holders: HolderList,
-    want: Want,
+    request: FetchRequest,
   ): string | undefined {
-    const { random, holdersLookedAt, uploadsPerHost } = this.#options;
+    const { random, holderSampleSize, uploadsPerHost } = this.#options;
     const start = Math.floor(random() * holders.count);
-    const looked = Math.min(holders.count, holdersLookedAt);
+    const sampleSize = Math.min(holders.count, holderSampleSize);
     let best: string | undefined;
-    let fewest = uploadsPerHost;
-    for (let offset = 0; offset < looked; offset += 1) {
+    let fewestUploads = uploadsPerHost;
+    for (let offset = 0; offset < sampleSize; offset += 1) {
       const holder = holders.at(start + offset);
       const uploads = table.uploadsOf(holder);
-      if (uploads >= fewest) continue;
-      if (table.isAvoided(want.host, holder, want.now)) continue;
-      [best, fewest] = [holder, uploads];
+      if (uploads >= fewestUploads) continue;
+      if (table.isAvoided(request.host, holder, request.now)) continue;
+      [best, fewestUploads] = [holder, uploads];
     }
     return best;
   }
 
   /**
-   * When the only hosts here that hold a chunk have stalled, waiting for one
-   * of them would wait for ever: the chunk is as good as outside.
+   * Whether the requesting host avoids all local holders of the chunk that are
+   * examined. If the only local holders have stalled, waiting for one would
+   * never end, so the chunk is fetched as if no local host held it.
    */
-  #allAvoided(table: SpreadTable, holders: HolderList, want: Want): boolean {
-    const looked = Math.min(holders.count, this.#options.holdersLookedAt);
-    for (let place = 0; place < looked; place += 1) {
-      const holder = holders.at(place);
-      if (!table.isAvoided(want.host, holder, want.now)) return false;
+  #areAllAvoided(
+    table: SpreadTable,
+    holders: HolderList,
+    request: FetchRequest,
+  ): boolean {
+    const sampleSize = Math.min(holders.count, this.#options.holderSampleSize);
+    for (let index = 0; index < sampleSize; index += 1) {
+      const holder = holders.at(index);
+      if (!table.isAvoided(request.host, holder, request.now)) return false;
     }
     return true;
   }
 
-  #fromFar(table: SpreadTable, want: Want): string | undefined {
-    const holders = table.farHolders(want.chunk);
-    if (holders.count === 0 || !this.#isFarInTime(table)) return undefined;
-    if (table.crossingsTo(want.host) >= this.#options.crossingsPerHost) {
+  #remoteSource(table: SpreadTable, request: FetchRequest): string | undefined {
+    const holders = table.remoteHolders(request.chunk);
+    if (holders.count === 0 || !this.#isRemoteInTime(table)) return undefined;
+    if (
+      table.remoteTransfersTo(request.host) >=
+        this.#options.remoteDownloadsPerHost
+    ) {
       return undefined;
     }
-    for (const holder of this.#farCandidates(table, holders, want.chunk)) {
-      if (this.#maySend(table, holder, want)) return holder;
+    for (
+      const holder of this.#remoteCandidates(table, holders, request.chunk)
+    ) {
+      if (this.#canSend(table, holder, request)) return holder;
     }
     return undefined;
   }
 
-  /** Hosts that send here already, then some others that hold the chunk. */
-  #farCandidates(
+  /**
+   * Returns remote holders of the chunk: those that already send to this data
+   * centre, then some others.
+   */
+  #remoteCandidates(
     table: SpreadTable,
     holders: HolderList,
     chunk: number,
   ): string[] {
-    const { random, holdersLookedAt } = this.#options;
-    const sending = table.liveDataCentres
-      .map((dataCentre) => table.crossingSource(dataCentre))
+    const { random, holderSampleSize } = this.#options;
+    const activeSenders = table.liveDataCentres
+      .map((dataCentre) => table.senderFrom(dataCentre))
       .filter((host) => host !== undefined)
       .filter((host) => table.host(host)?.held.has(chunk));
     const start = Math.floor(random() * holders.count);
-    const looked = Math.min(holders.count, holdersLookedAt);
+    const sampleSize = Math.min(holders.count, holderSampleSize);
     const others = Array.from(
-      { length: looked },
+      { length: sampleSize },
       (_, offset) => holders.at(start + offset),
     );
-    return [...sending, ...others];
+    return [...activeSenders, ...others];
   }
 
   /**
-   * One host of each data centre sends here at a time: senders keep to the
-   * link's rate each by itself, so two would send twice the rate. A second
-   * chunk waits at the same host, or the link would idle between two.
+   * Whether a remote holder may send a chunk to this data centre. Only one host
+   * of each remote data centre sends at a time: each sender limits itself to
+   * the link's rate, so two would send at twice that rate. A second chunk is
+   * queued at the same sender, or the link would be idle between two chunks.
    */
-  #maySend(table: SpreadTable, holder: string, want: Want): boolean {
+  #canSend(table: SpreadTable, holder: string, request: FetchRequest): boolean {
     const { dataCentre } = table.host(holder)!;
-    const sending = table.crossingSource(dataCentre) ?? holder;
-    return sending === holder &&
-      table.crossingsFrom(dataCentre) < this.#options.regionTransfers &&
+    const activeSender = table.senderFrom(dataCentre) ?? holder;
+    return activeSender === holder &&
+      table.remoteTransfersFrom(dataCentre) <
+        this.#options.transfersPerRemoteDataCentre &&
       table.uploadsOf(holder) < this.#options.uploadsPerHost &&
-      !table.isAvoided(want.host, holder, want.now);
+      !table.isAvoided(request.host, holder, request.now);
   }
 
   /**
-   * Weighing time, a thin link must not bring one of the last chunks: it
-   * would still be on its way when the origin has long brought all others.
+   * When minimizing time, whether a remote transfer ends before the origin
+   * could deliver all absent chunks. Otherwise one of the last chunks would
+   * still be in transit over a slow link long after the origin has delivered
+   * all others. True until both mean transfer times are known.
    */
-  #isFarInTime(table: SpreadTable): boolean {
+  #isRemoteInTime(table: SpreadTable): boolean {
     if (this.#options.weighing !== "time") return true;
-    const far = table.times.mean("far");
-    const origin = table.times.mean("origin");
-    if (far === undefined || origin === undefined) return true;
-    const rest = table.outsideChunks / this.#options.originTransfers;
-    return far <= rest * origin;
+    const remoteMean = table.transferTimes.mean("remote");
+    const originMean = table.transferTimes.mean("origin");
+    if (remoteMean === undefined || originMean === undefined) return true;
+    const originRounds = table.absentChunkCount / this.#options.originTransfers;
+    return remoteMean <= originRounds * originMean;
   }
 
-  #fromOrigin(table: SpreadTable, want: Want): string | undefined {
+  #originSource(table: SpreadTable, request: FetchRequest): string | undefined {
     if (table.uploadsOf(ORIGIN) >= this.#options.originTransfers) {
       return undefined;
     }
-    if (!this.#mayDrawFromOrigin(table, want.chunk)) return undefined;
-    return table.isAvoided(want.host, ORIGIN, want.now) ? undefined : ORIGIN;
+    if (!this.#mayFetchFromOrigin(table, request.chunk)) return undefined;
+    return table.isAvoided(request.host, ORIGIN, request.now)
+      ? undefined
+      : ORIGIN;
   }
 
   /**
-   * Weighing origin bytes, each chunk has one data centre that draws it, the
-   * same by every coordinator's count, and the others wait for it. One that
-   * is cut off is no longer among the data centres, so its chunks pass on.
+   * When minimizing origin bytes, only the data centre assigned to a chunk
+   * fetches it from the origin, and the others wait for it; with "haste", this
+   * holds until every chunk has left the origin. All coordinators compute the
+   * same assignment. A data centre that is cut off is no longer live, so its
+   * chunks are reassigned.
    */
-  #mayDrawFromOrigin(table: SpreadTable, chunk: number): boolean {
+  #mayFetchFromOrigin(table: SpreadTable, chunk: number): boolean {
     const { weighing } = this.#options;
     if (weighing === "time") return true;
-    if (weighing === "haste" && table.isDrawnWhole) return true;
-    return this.#ownerOf(table, chunk) === table.dataCentre;
+    if (weighing === "haste" && table.isEveryChunkHeld) return true;
+    return this.#assignedDataCentre(table, chunk) === table.dataCentre;
   }
 
-  #ownerOf(table: SpreadTable, chunk: number): string {
-    return drawingDataCentre(chunk, {
+  #assignedDataCentre(table: SpreadTable, chunk: number): string {
+    return chooseFetchingDataCentre(chunk, {
       known: table.knownDataCentres,
       live: table.liveDataCentres,
     });
--- a/packages/core/src/spread/transfer_times.ts
+++ b/packages/core/src/spread/transfer_times.ts
@@ -1,23 +1,23 @@
-const LEARNING_SHARE = 0.2;
+const SMOOTHING_FACTOR = 0.2;
 
-type Kind = "near" | "far" | "origin";
+type SourceKind = "local" | "remote" | "origin";
 
-/** Learns how long one chunk takes from each kind of source, milliseconds. */
+/** Averages how long a chunk takes from each kind of source, milliseconds. */
 export class TransferTimes {
-  #means = new Map<Kind, number>();
+  #means = new Map<SourceKind, number>();
 
-  learn(kind: Kind, milliseconds: number): void {
+  record(kind: SourceKind, milliseconds: number): void {
     const mean = this.#means.get(kind);
     this.#means.set(
       kind,
       mean === undefined
         ? milliseconds
-        : mean + LEARNING_SHARE * (milliseconds - mean),
+        : mean + SMOOTHING_FACTOR * (milliseconds - mean),
     );
   }
 
-  /** Mean time, or undefined before the first transfer of this kind. */
-  mean(kind: Kind): number | undefined {
+  /** Returns the mean, or undefined before the first transfer of this kind. */
+  mean(kind: SourceKind): number | undefined {
     return this.#means.get(kind);
   }
 }
--- a/packages/core/src/spread/version_name.ts
+++ b/packages/core/src/spread/version_name.ts
@@ -1,6 +1,6 @@
 import type { WeightsManifest } from "./weights_manifest.ts";
 
-/** How a version is written in headers, logs and messages: name@version. */
+/** Formats a version as name@version, for headers, logs and messages. */
 export function versionName(manifest: WeightsManifest): string {
   return `${manifest.name}@${manifest.version}`;
 }
--- a/packages/core/src/spread/weight_blocks.ts
+++ b/packages/core/src/spread/weight_blocks.ts
@@ -1,56 +1,57 @@
 import type { ChunkSet } from "./chunk_set.ts";
 import type { WeightsManifest } from "./weights_manifest.ts";
 
-/** An exchange between hosts costs as much for a small chunk as for this. */
+/** An exchange between hosts costs the same for a small chunk as for this. */
 const BLOCK_BYTES = 49_152;
 
 /**
- * A version's chunks in blocks that go from host to host in one exchange.
+ * Groups a version's chunks into blocks that hosts transfer in one exchange.
  *
- * Pattern: the store cuts the same weights into twice as many chunks of half
- * the size; each was ordered, asked for and told of by itself on every host.
+ * A weight store may split the same weights into twice as many chunks of half
+ * the size. Without blocks, each of these was assigned, requested and reported
+ * separately on every host.
  */
 export class WeightBlocks {
-  #chunks: number;
-  #perBlock: number;
+  #chunkCount: number;
+  #chunksPerBlock: number;
 
   constructor(
     { chunks, chunk_bytes }: Pick<WeightsManifest, "chunks" | "chunk_bytes">,
   ) {
-    this.#chunks = chunks.length;
-    this.#perBlock = Math.max(1, Math.floor(BLOCK_BYTES / chunk_bytes));
+    this.#chunkCount = chunks.length;
+    this.#chunksPerBlock = Math.max(1, Math.floor(BLOCK_BYTES / chunk_bytes));
   }
 
   get count(): number {
-    return Math.ceil(this.#chunks / this.#perBlock);
+    return Math.ceil(this.#chunkCount / this.#chunksPerBlock);
   }
 
   get chunksPerBlock(): number {
-    return this.#perBlock;
+    return this.#chunksPerBlock;
   }
 
-  /** The chunks of a block, in order; none for a block that is not there. */
+  /** Returns a block's chunks in order; empty if the block does not exist. */
   chunksOf(block: number): number[] {
-    const first = block * this.#perBlock;
-    const end = Math.min(first + this.#perBlock, this.#chunks);
+    const first = block * this.#chunksPerBlock;
+    const end = Math.min(first + this.#chunksPerBlock, this.#chunkCount);
     const chunks: number[] = [];
     for (let chunk = first; chunk < end; chunk += 1) chunks.push(chunk);
     return chunks;
   }
 
-  /** Blocks of which every chunk is held. */
+  /** Returns the blocks of which every chunk is held. */
   wholeIn(held: ChunkSet): number[] {
-    return this.#blocks().filter((block) =>
+    return this.#allBlocks().filter((block) =>
       this.chunksOf(block).every((chunk) => held.has(chunk))
     );
   }
 
   missingIn(held: ChunkSet): number[] {
     const whole = new Set(this.wholeIn(held));
-    return this.#blocks().filter((block) => !whole.has(block));
+    return this.#allBlocks().filter((block) => !whole.has(block));
   }
 
-  #blocks(): number[] {
+  #allBlocks(): number[] {
     return Array.from({ length: this.count }, (_, block) => block);
   }
 }
--- a/packages/core/src/spread/weights_manifest_schema.ts
+++ b/packages/core/src/spread/weights_manifest_schema.ts
@@ -1,6 +1,6 @@
 import * as z from "zod";
 
-/** What a weight store says of one version: its chunks by SHA-256, in order. */
+/** A weight store's manifest of one version; `chunks` are SHA-256, in order. */
 export const weightsManifestSchema = z.strictObject({
   name: z.string().min(1).max(128),
   version: z.string().min(1).max(128),
