--- a/packages/core/src/membership/backend_registry.ts
+++ b/packages/core/src/membership/backend_registry.ts
@@ -1,40 +1,41 @@
 import type { BackendStanding } from "./backend_standing.ts";
 import { isLaterStanding } from "./is_later_standing.ts";
 
-/** Later than anything one start says. */
+/** Higher than the sequence of any announcement. */
 const LAST_SEQUENCE = Number.MAX_SAFE_INTEGER;
 
 type Entry = { standing: BackendStanding; heardAt: number };
 
 type Options = {
-  /** Without a word for so long a backend server counts as gone. */
+  /** Time without an announcement after which a backend server is gone. */
   silentMilliseconds: number;
-  /** How long an end is remembered against late heartbeats. */
+  /** How long a gone backend server is kept, to reject late heartbeats. */
   forgetMilliseconds: number;
 };
 
 /**
- * The backend servers that announced themselves, as soft state: whoever
- * restarts hears it all again within a heartbeat, and hosts that merge what
- * they heard agree, in whichever order it came.
+ * Holds the latest announcement of each backend server. This is soft state: a
+ * process that restarts receives all announcements again within one heartbeat
+ * interval, and hosts that merge the same announcements agree, whatever the
+ * order of arrival.
  */
 export class BackendRegistry {
   #options: Options;
   #entries = new Map<string, Entry>();
-  /** Looked up for every request; undefined when it has to be made anew. */
+  /** Cached, as every request reads it; undefined when it must be rebuilt. */
   #live: BackendStanding[] | undefined;
 
   constructor(options: Options) {
     this.#options = options;
   }
 
-  /** All that are not gone. */
+  /** Returns the backend servers that are not gone. */
   live(): readonly BackendStanding[] {
     this.#live ??= this.all().filter(({ state }) => state !== "gone");
     return this.#live;
   }
 
-  /** All, and the ends still remembered. */
+  /** Returns all backend servers, including gone ones still remembered. */
   all(): BackendStanding[] {
     return [...this.#entries.values()].map(({ standing }) => standing);
   }
@@ -43,14 +44,14 @@
     return this.#entries.get(instance)?.standing;
   }
 
-  /** When an instance was last heard of; 0 for never. */
+  /** Returns when an instance's standing was last replaced, 0 for never. */
   heardAt(instance: string): number {
     return this.#entries.get(instance)?.heardAt ?? 0;
   }
 
   /**
-   * Takes a word in; gives back the standings that it changed in something
-   * that matters to routing, none when it came late.
+   * Merges an announcement. Returns the standings that changed in a field that
+   * affects routing; empty if the announcement is outdated.
    */
   take(standing: BackendStanding, now: number): BackendStanding[] {
     const known = this.#entries.get(standing.instance);
@@ -59,22 +60,25 @@
     }
     this.#set(standing, now);
     const changed = known === undefined ||
-      !saysTheSame(known.standing, standing);
+      !isEquivalentForRouting(known.standing, standing);
     return [
       ...(changed ? [standing] : []),
-      ...this.#endOthersAt(standing, now),
+      ...this.#endPredecessorsAt(standing, now),
     ];
   }
 
   /**
-   * Ends an instance that said so itself: nothing that this start said
-   * earlier and that comes late can bring it back.
+   * Marks an instance that announced its own end as gone. Earlier announcements
+   * of the same start that arrive late can't restore it.
    */
   leave(instance: string, now: number): BackendStanding[] {
-    return this.#end(instance, now, LAST_SEQUENCE);
+    return this.#markGone(instance, now, LAST_SEQUENCE);
   }
 
-  /** Ends what fell silent and forgets old ends; gives back the new ends. */
+  /**
+   * Marks silent instances as gone and forgets those that have been gone for
+   * long. Returns the standings newly marked as gone.
+   */
   expire(now: number): BackendStanding[] {
     const { silentMilliseconds, forgetMilliseconds } = this.#options;
     const ended: BackendStanding[] = [];
@@ -82,14 +86,18 @@
       const silence = now - heardAt;
       if (standing.state !== "gone") {
         if (silence > silentMilliseconds) {
-          ended.push(...this.#end(instance, now, standing.sequence));
+          ended.push(...this.#markGone(instance, now, standing.sequence));
         }
       } else if (silence > forgetMilliseconds) this.#entries.delete(instance);
     }
     return ended;
   }
 
-  #end(instance: string, now: number, sequence: number): BackendStanding[] {
+  #markGone(
+    instance: string,
+    now: number,
+    sequence: number,
+  ): BackendStanding[] {
     const known = this.#entries.get(instance)?.standing;
     if (known === undefined || known.state === "gone") return [];
     const standing: BackendStanding = { ...known, state: "gone", sequence };
@@ -102,8 +110,8 @@
     this.#live = undefined;
   }
 
-  /** An address has one backend server: an earlier one there has ended. */
-  #endOthersAt(latest: BackendStanding, now: number): BackendStanding[] {
+  /** Marks earlier backend servers at the address gone: it has only one. */
+  #endPredecessorsAt(latest: BackendStanding, now: number): BackendStanding[] {
     if (latest.state === "gone") return [];
     const ended: BackendStanding[] = [];
     for (const [instance, { standing }] of [...this.#entries]) {
@@ -112,13 +120,16 @@
         standing.address !== latest.address ||
         standing.bornAt > latest.bornAt
       ) continue;
-      ended.push(...this.#end(instance, now, LAST_SEQUENCE));
+      ended.push(...this.#markGone(instance, now, LAST_SEQUENCE));
     }
     return ended;
   }
 }
 
-function saysTheSame(left: BackendStanding, right: BackendStanding): boolean {
+function isEquivalentForRouting(
+  left: BackendStanding,
+  right: BackendStanding,
+): boolean {
   return left.state === right.state && left.bornAt === right.bornAt &&
     left.address === right.address && left.service === right.service &&
     left.slots === right.slots && left.dataCentre === right.dataCentre &&
--- a/packages/core/src/membership/backend_registry_test.ts
+++ b/packages/core/src/membership/backend_registry_test.ts
@@ -27,9 +27,9 @@
   });
 }
 
-test("a heartbeat held up by a partition brings nobody back", () => {
-  // Story: a backend server says that it leaves, and is gone. A heartbeat it
-  // sent before, held up by a cut link, arrives after that.
+test("a heartbeat delayed by a partition restores no backend server", () => {
+  // A backend server announces that it leaves, and is gone. A heartbeat that it
+  // sent before, delayed by a cut link, arrives after that.
   const known = registry();
   known.take(standing({ sequence: 5 }), 0);
   assert.equal(known.leave("i-1", 10).length, 1);
@@ -37,7 +37,7 @@
   assert.deepEqual(known.live(), []);
 });
 
-test("a start under an id used before counts anew", () => {
+test("a start that reuses an instance id replaces the earlier start", () => {
   const known = registry();
   known.take(standing({ sequence: 900 }), 0);
   known.leave("i-1", 10);
@@ -46,7 +46,7 @@
   assert.deepEqual(known.take(standing({ sequence: 901 }), 30), []);
 });
 
-test("an address used again ends whoever had it", () => {
+test("a new instance ends the earlier one at the same address", () => {
   const known = registry();
   known.take(standing({}), 0);
   const changed = known.take(
@@ -59,7 +59,7 @@
   );
 });
 
-test("who fell silent comes back with the next word", () => {
+test("a silent backend server returns with its next announcement", () => {
   const known = registry();
   known.take(standing({}), 0);
   assert.equal(known.expire(5_000).length, 0);
@@ -68,21 +68,21 @@
   assert.equal(known.live().length, 1);
 });
 
-test("hosts that hear the same words in any order agree", () => {
+test("hosts that get the same announcements in any order agree", () => {
   const random = seededRandom(7);
   for (let round = 0; round < 300; round += 1) {
-    const words: BackendStanding[] = [];
+    const announcements: BackendStanding[] = [];
     for (let start = 1; start <= 2; start += 1) {
       for (let sequence = 1; sequence <= 4; sequence += 1) {
         const state = random() < 0.3 ? "leaving" : "ready";
-        words.push(standing({ bornAt: start, sequence, state }));
+        announcements.push(standing({ bornAt: start, sequence, state }));
       }
     }
-    const shuffled = [...words].sort(() => random() - 0.5);
+    const shuffled = [...announcements].sort(() => random() - 0.5);
     const left = registry();
     const right = registry();
-    for (const word of words) left.take(word, 0);
-    for (const word of shuffled) right.take(word, 0);
+    for (const announcement of announcements) left.take(announcement, 0);
+    for (const announcement of shuffled) right.take(announcement, 0);
     assert.deepEqual(left.all(), right.all());
   }
 });
--- a/packages/core/src/membership/backend_standing.ts
+++ b/packages/core/src/membership/backend_standing.ts
@@ -1,19 +1,19 @@
-/** What a backend server last said of itself. */
+/** The latest announcement of a backend server. */
 export type BackendStanding = {
-  /** Names one start of a backend server, mostly. */
+  /** Usually identifies one start of a backend server, but can be reused. */
   instance: string;
   service: string;
-  /** IP and port that requests go to. */
+  /** IP address and port that receive requests. */
   address: string;
   dataCentre: string;
   slots: number;
   state: "ready" | "leaving" | "gone";
-  /** Time of its start, Unix milliseconds; an id used again has a later one. */
+  /** Start time, Unix milliseconds; later for a start that reuses the id. */
   bornAt: number;
-  /** Rises with each thing that one start says. */
+  /** Increases with each announcement of one start. */
   sequence: number;
-  /** How much longer it works slowly after its start. */
+  /** Remaining time in which the backend server is slow after its start. */
   coldMilliseconds: number;
-  /** Complete models that it serves, by name. */
+  /** Completely loaded models that the backend server serves, by name. */
   models: { name: string; version: number }[];
 };
--- a/packages/core/src/membership/entry_host_row.ts
+++ b/packages/core/src/membership/entry_host_row.ts
@@ -1,10 +1,14 @@
-/** An entry host that was ever registered and not removed; holds a floor. */
+/**
+ * An entry host that was registered and has not been removed. Each one, even
+ * while stopped, holds its floor: the part of every contract's rate that it may
+ * use while cut off.
+ */
 export type EntryHostRow = {
   host: string;
   dataCentre: string;
   publicAddress: string;
   internalAddress: string;
   incarnation: string;
-  /** It stopped as planned: it takes no calls and holds no lease. */
+  /** Whether it stopped as planned; it then takes no calls and has no lease. */
   stopped: boolean;
 };
--- a/packages/core/src/membership/is_later_standing.ts
+++ b/packages/core/src/membership/is_later_standing.ts
@@ -1,9 +1,9 @@
 import type { BackendStanding } from "./backend_standing.ts";
 
 /**
- * Whether one standing overtakes another of the same instance. A heartbeat
- * that was held up by a partition can arrive after its sender's end or after
- * its next start; it must not bring back what it says.
+ * Whether a standing supersedes the known one of the same instance. A heartbeat
+ * that was delayed by a partition can arrive after its sender's end or next
+ * start, and must not restore the state that it announces.
  */
 export function isLaterStanding(
   candidate: BackendStanding,
@@ -15,6 +15,7 @@
   if (candidate.sequence !== known.sequence) {
     return candidate.sequence > known.sequence;
   }
-  // The same word passed on by another host; only an end adds to it.
+  // The same announcement, forwarded by another host, which can only add that
+  // the backend server is gone.
   return candidate.state === "gone" && known.state !== "gone";
 }
--- a/packages/core/src/membership/may_open_next.ts
+++ b/packages/core/src/membership/may_open_next.ts
@@ -1,23 +1,23 @@
-/** A host that was not heard for so long after it was turned to may be lost. */
-const OPENING_MILLISECONDS = 500;
+/** A host that sends nothing on a new stream for so long may be lost. */
+const OPEN_TIMEOUT_MILLISECONDS = 500;
 
 type Opening = {
-  /** When its stream was begun, monotonic milliseconds. */
+  /** When the stream was opened, monotonic milliseconds. */
   openedAt: number;
-  /** Whether the host at the other end has said something on it. */
+  /** Whether the host at the other end has sent something on the stream. */
   isHeard: boolean;
 };
 
 /**
- * Whether a process may open its next stream beside those it has.
+ * Whether a process may open another stream in addition to its current ones.
  *
- * Pattern: behind an outage all processes turn to the same few hosts in one
- * moment, and each stream costs these some milliseconds. With one stream opened
- * after the other, the first streams of all come ahead of anyone's second one,
- * and one is enough to serve.
+ * After an outage, all processes connect to the same few hosts at once, and
+ * each stream costs these hosts some milliseconds. If every process opens one
+ * stream after the other, the first streams of all processes precede any second
+ * one, and one stream is enough to serve.
  */
 export function mayOpenNext(openings: Opening[], now: number): boolean {
   return openings.every(({ openedAt, isHeard }) =>
-    isHeard || now - openedAt > OPENING_MILLISECONDS
+    isHeard || now - openedAt > OPEN_TIMEOUT_MILLISECONDS
   );
 }
--- a/packages/core/src/membership/may_open_next_test.ts
+++ b/packages/core/src/membership/may_open_next_test.ts
@@ -4,10 +4,13 @@
 
 const PROCESSES = 100;
 const STREAMS = 3;
-const TAKEN_IN_MILLISECONDS = 7;
+const ACCEPT_MILLISECONDS = 7;
 
-/** When each process's first stream is heard by a host that takes in one by one. */
-function playOutage(mayOpen: typeof mayOpenNext): number[] {
+/**
+ * Simulates processes that connect to a host which accepts one stream at a
+ * time. Returns when each process's first stream is accepted, in order.
+ */
+function simulateOutage(mayOpen: typeof mayOpenNext): number[] {
   const streams = Array.from(
     { length: PROCESSES },
     () => [] as { openedAt: number; isHeard: boolean }[],
@@ -21,7 +24,7 @@
         opened.push({ openedAt: now, isHeard: false });
       }
     }
-    if (now % TAKEN_IN_MILLISECONDS !== 0) continue;
+    if (now % ACCEPT_MILLISECONDS !== 0) continue;
     const next = queue.shift();
     if (next === undefined) continue;
     const opened = streams[next.process]!;
@@ -31,11 +34,11 @@
   return firstHeardAt;
 }
 
-// Pattern: a hundred processes turn to one host that has just started. Guards
-// against the last of them being heard behind everyone's third stream.
-test("first streams come ahead of anyone's second one", () => {
-  const ordered = playOutage(mayOpenNext);
-  const allAtOnce = playOutage(() => true);
+// A hundred processes connect to one host that has just started. Guards against
+// the last of them being accepted only after the third streams of the others.
+test("the first streams of all processes precede any second one", () => {
+  const ordered = simulateOutage(mayOpenNext);
+  const allAtOnce = simulateOutage(() => true);
   const last = (heardAt: number[]) => heardAt.at(-1)!;
   assert.ok(
     last(ordered) < 0.7 * last(allAtOnce),
@@ -43,8 +46,8 @@
   );
 });
 
-// Guards against a first host that is lost keeping a process from all others.
-test("a host that says nothing is not waited for", () => {
+// Guards against a lost first host that keeps a process from all other hosts.
+test("a silent host delays the next stream only briefly", () => {
   const silent = [{ openedAt: 0, isHeard: false }];
   assert.equal(mayOpenNext(silent, 400), false);
   assert.equal(mayOpenNext(silent, 600), true);
--- a/packages/core/src/membership/plan_membership.ts
+++ b/packages/core/src/membership/plan_membership.ts
@@ -1,52 +1,56 @@
 import { create } from "@bufbuild/protobuf";
 import { type Member, MemberSchema } from "@teaselrouter/messages/control.ts";
 
-/** A control host that asked to be taken in. */
+/** A control host that asked to join. */
 type Candidate = { member: Member; askedAt: number };
 
-type View = {
+type MembershipView = {
   selfId: string;
   members: Member[];
   candidates: Candidate[];
-  /** Voters to have once there are hosts enough. */
+  /** Number of voters to reach once there are enough hosts. */
   wantedVoters: number;
   heardAt: (id: string) => number;
   isCaughtUp: (id: string) => boolean;
   now: number;
 };
 
-/** Two joins are asked a second; one that stopped asking is gone. */
-const CANDIDATE_MILLISECONDS = 3_000;
+/** Candidates ask to join twice a second; one that stopped asking is gone. */
+const CANDIDATE_EXPIRY_MILLISECONDS = 3_000;
 /**
- * Longer than a restart takes on these hosts: a voter that comes back with
- * its disk is worth more than one that has to learn everything.
+ * Longer than a restart takes on these hosts: a voter that returns with its
+ * disk is better than a new one that has to replicate all data first.
  */
 const LOST_VOTER_MILLISECONDS = 6_000;
 const LOST_LEARNER_MILLISECONDS = 10_000;
-/** Heard so lately a member counts as running. */
+/** A member counts as running if it was heard from within this time. */
 const RUNNING_MILLISECONDS = 1_000;
 
 /**
- * The members that come next, or undefined when nothing is to be changed.
- * One member is added, promoted or removed at a time, so that any two
- * majorities in a row overlap. A new host first learns everything.
+ * Returns the next list of members, or undefined if no change is needed. Adds,
+ * promotes or removes one member at a time, so that the majorities of
+ * consecutive lists overlap. A new host replicates all data as a learner before
+ * it becomes a voter.
  */
-export function planMembership(view: View): Member[] | undefined {
-  return removeWiped(view) ?? addLearner(view) ?? removeLearner(view) ??
-    replaceVoter(view) ?? promote(view);
+export function planMembership(view: MembershipView): Member[] | undefined {
+  return removeWipedMember(view) ?? addLearner(view) ??
+    removeLostLearner(view) ?? removeLostVoter(view) ?? promoteLearner(view);
 }
 
-function freshCandidates(view: View): Member[] {
+function freshCandidates(view: MembershipView): Member[] {
   return view.candidates
-    .filter(({ askedAt }) => view.now - askedAt <= CANDIDATE_MILLISECONDS)
+    .filter(({ askedAt }) =>
+      view.now - askedAt <= CANDIDATE_EXPIRY_MILLISECONDS
+    )
     .map(({ member }) => member);
 }
 
 /**
- * A host that lost its disk asks under a new id from its old address. The old
- * id can never answer again, and would count against every majority.
+ * Removes a member whose host lost its disk. Such a host asks to join under a
+ * new id from its old address; the old id can never respond again, and would
+ * count against every majority.
  */
-function removeWiped(view: View): Member[] | undefined {
+function removeWipedMember(view: MembershipView): Member[] | undefined {
   const wiped = view.members.find((member) =>
     member.id !== view.selfId &&
     freshCandidates(view).some(({ address, id }) =>
@@ -56,14 +60,14 @@
   return wiped && view.members.filter(({ id }) => id !== wiped.id);
 }
 
-function addLearner(view: View): Member[] | undefined {
+function addLearner(view: MembershipView): Member[] | undefined {
   const known = new Set(view.members.map(({ id }) => id));
   const joining = freshCandidates(view).find(({ id }) => !known.has(id));
   return joining &&
     [...view.members, create(MemberSchema, { ...joining, learner: true })];
 }
 
-function removeLearner(view: View): Member[] | undefined {
+function removeLostLearner(view: MembershipView): Member[] | undefined {
   const lost = view.members.find((member) =>
     member.learner &&
     view.now - view.heardAt(member.id) > LOST_LEARNER_MILLISECONDS
@@ -71,8 +75,8 @@
   return lost && view.members.filter(({ id }) => id !== lost.id);
 }
 
-/** A silent voter goes only where a running learner can take its place. */
-function replaceVoter(view: View): Member[] | undefined {
+/** Removes a silent voter only if a running learner can take its place. */
+function removeLostVoter(view: MembershipView): Member[] | undefined {
   if (readyLearners(view).length === 0) return undefined;
   const lost = view.members.find((member) =>
     !member.learner && member.id !== view.selfId &&
@@ -81,7 +85,7 @@
   return lost && view.members.filter(({ id }) => id !== lost.id);
 }
 
-function promote(view: View): Member[] | undefined {
+function promoteLearner(view: MembershipView): Member[] | undefined {
   const voters = view.members.filter(({ learner }) => !learner);
   if (voters.length >= view.wantedVoters) return undefined;
   const votersIn = (dataCentre: string) =>
@@ -97,7 +101,7 @@
     );
 }
 
-function readyLearners(view: View): Member[] {
+function readyLearners(view: MembershipView): Member[] {
   return view.members.filter((member) =>
     member.learner && view.isCaughtUp(member.id) &&
     view.now - view.heardAt(member.id) <= RUNNING_MILLISECONDS
--- a/packages/core/src/membership/plan_membership_test.ts
+++ b/packages/core/src/membership/plan_membership_test.ts
@@ -38,11 +38,11 @@
   return members?.map(({ id, learner }) => learner ? `${id}:learner` : id);
 }
 
-test("with all there nothing changes", () => {
+test("nothing changes while all members are running", () => {
   assert.equal(plan({}), undefined);
 });
 
-test("a host that asks is taken in as a learner, and votes when wanted", () => {
+test("a candidate joins as a learner, and votes when a voter is needed", () => {
   const candidates = [{ member: member("d"), askedAt: NOW - 100 }];
   assert.deepEqual(plan({ candidates }), ["a", "b", "c", "d:learner"]);
   const members = [
@@ -54,14 +54,14 @@
   assert.equal(plan({ members, isCaughtUp: () => false }), undefined);
 });
 
-test("one that stopped asking is not taken in", () => {
+test("a candidate that stopped asking does not join", () => {
   const candidates = [{ member: member("d"), askedAt: NOW - 10_000 }];
   assert.equal(plan({ candidates }), undefined);
 });
 
-test("a host back with an empty disk replaces its old self", () => {
-  // Story: a control host loses its disk and asks under a new id from its
-  // old address. The old id goes first: it can never answer again.
+test("a host that returns with an empty disk replaces its old member", () => {
+  // A control host loses its disk and asks to join under a new id from its old
+  // address. The old id is removed first: it can never respond again.
   const wiped = member("c2", { address: "c:7700" });
   const candidates = [{ member: wiped, askedAt: NOW }];
   assert.deepEqual(plan({ candidates }), ["a", "b"]);
@@ -94,7 +94,7 @@
   assert.deepEqual(plan({ members }), ["a", "b", "c:learner", "d"]);
 });
 
-test("a learner that is gone for long is removed", () => {
+test("a learner that has been silent for long is removed", () => {
   const members = [
     member("a"),
     member("b"),
--- a/packages/core/src/membership/start_gate.ts
+++ b/packages/core/src/membership/start_gate.ts
@@ -1,26 +1,26 @@
 /**
- * Several elections. A host that hears no leader for longer still passes on
- * what backend servers say to it.
+ * Long enough for several elections. The gate then opens even without a leader,
+ * because such a host still forwards what backend servers announce to it.
  */
-const CLOSED_MILLISECONDS = 1_500;
+const MAX_CLOSED_MILLISECONDS = 1_500;
 
 type Options = {
   /** Monotonic milliseconds. */
   startedAt: number;
-  /** Whether this host has anything to tell that is known to be current. */
+  /** Whether this host has any state that is known to be current. */
   isCurrent: () => boolean;
-  /** IP addresses of the control hosts that are known. */
+  /** IP addresses of the known control hosts. */
   controlIps: () => string[];
 };
 
 /**
- * Who may connect to a control host that has just started.
+ * Decides which processes may connect to a control host that has just started.
  *
- * Pattern: behind an outage of a whole system every gateway and stager turns
- * to the control hosts while these elect a leader. Each stream costs some
- * milliseconds on a small share of a core, and nothing can be told on it
- * before there is a leader: taken in first, they hold up the election that
- * all of them wait for.
+ * After an outage of a whole system, every gateway and stager connects to the
+ * control hosts while these elect a leader. Each stream costs some milliseconds
+ * on a small share of a core, and carries no information until there is a
+ * leader. Streams accepted before that delay the election that all of these
+ * processes wait for.
  */
 export class StartGate {
   #options: Options;
@@ -32,7 +32,7 @@
 
   admits(ip: string, now: number): boolean {
     const { startedAt, isCurrent, controlIps } = this.#options;
-    this.#isOpen ||= isCurrent() || now - startedAt > CLOSED_MILLISECONDS;
+    this.#isOpen ||= isCurrent() || now - startedAt > MAX_CLOSED_MILLISECONDS;
     return this.#isOpen || controlIps().includes(ip);
   }
 }
--- a/packages/core/src/membership/start_gate_test.ts
+++ b/packages/core/src/membership/start_gate_test.ts
@@ -13,8 +13,8 @@
   });
 }
 
-// Guards against followers that hold up the election they wait for.
-test("until there is something to tell only control hosts get in", () => {
+// Guards against followers that delay the election they wait for.
+test("only control hosts are admitted until this host is current", () => {
   let current = false;
   const gate = openGate(() => current);
   assert.equal(gate.admits(GATEWAY, 1_100), false);
@@ -25,8 +25,8 @@
   assert.equal(gate.admits(GATEWAY, 1_300), true, "open for good");
 });
 
-// Guards against a host without a majority that shuts out followers for good.
-test("a host that hears no leader lets followers in after a while", () => {
+// Guards against a host without a majority that rejects followers forever.
+test("a host without a leader admits followers after a while", () => {
   const gate = openGate(() => false);
   assert.equal(gate.admits(GATEWAY, 2_400), false);
   assert.equal(gate.admits(GATEWAY, 2_600), true);
