--- a/packages/core/src/claims/agent_claims.ts
+++ b/packages/core/src/claims/agent_claims.ts
@@ -1,8 +1,8 @@
-/** Six times the longest deadline: no copy of a call is on its way longer. */
-const KEPT_MILLISECONDS = 3_600_000;
-const DROPPED_PER_CALL = 4;
+/** Six times the longest deadline; no copy of a call is in transit longer. */
+const RETENTION_MILLISECONDS = 3_600_000;
+const MAX_DROPPED_PER_CALL = 4;
 
-type Known = {
+type ClaimRecord = {
   claimIndex: number;
   requestId: string;
   tombstoned: boolean;
@@ -15,19 +15,22 @@
   | { kind: "refuse"; outcome: "not-run" | "unknown"; reason: string };
 
 /**
- * What one agent process knows of claims. A key runs once per process; a
- * claim for another process, or one declared dead here, never runs.
+ * Tracks the claims that one agent process knows. A key runs once per process;
+ * a claim for another process, or one that was tombstoned here, never runs.
  */
 export class AgentClaims {
   #incarnation: string;
-  /** By key, oldest first. */
-  #known = new Map<string, Known>();
+  /** Ordered from oldest to newest. */
+  #recordByKey = new Map<string, ClaimRecord>();
 
   constructor(incarnation: string) {
     this.#incarnation = incarnation;
   }
 
-  /** Decides about a call that arrived under a claim. */
+  /**
+   * Decides whether a call that arrived under a claim runs, attaches to the
+   * request that runs the claim already, or is refused.
+   */
   admit(
     claim: {
       key: string;
@@ -37,13 +40,14 @@
     },
     now: number,
   ): Verdict {
-    this.#drop(now);
-    // The claim was for a process that may have run it before it died.
+    this.#dropExpired(now);
+    // The claim was for another agent process, which may have run the call
+    // before that process ended.
     if (claim.incarnation !== this.#incarnation) {
       return { kind: "refuse", outcome: "unknown", reason: "agent-restarted" };
     }
-    const known = this.#known.get(claim.key);
-    if (known === undefined || known.claimIndex < claim.claimIndex) {
+    const record = this.#recordByKey.get(claim.key);
+    if (record === undefined || record.claimIndex < claim.claimIndex) {
       const { claimIndex, requestId } = claim;
       this.#set(claim.key, {
         claimIndex,
@@ -53,45 +57,48 @@
       });
       return { kind: "run" };
     }
-    if (known.claimIndex > claim.claimIndex || known.tombstoned) {
+    if (record.claimIndex > claim.claimIndex || record.tombstoned) {
       return { kind: "refuse", outcome: "not-run", reason: "claim-withdrawn" };
     }
-    return { kind: "attach", requestId: known.requestId };
+    return { kind: "attach", requestId: record.requestId };
   }
 
-  /** Whether the claim, or a later one of its key, was seen here. */
+  /** Whether the claim, or a later one of its key, is known here. */
   has(key: string, claimIndex: number): boolean {
-    return (this.#known.get(key)?.claimIndex ?? -1) >= claimIndex;
+    return (this.#recordByKey.get(key)?.claimIndex ?? -1) >= claimIndex;
   }
 
   /**
-   * Withdraws a claim that has not arrived, so that it never will run here.
-   * Gives back the request that runs it if it has arrived.
+   * Tombstones a claim that has not arrived, so that its call never runs here.
+   * Returns the id of the request that runs the call if the claim has arrived
+   * and was not withdrawn, else undefined.
    */
   settle(key: string, claimIndex: number, now: number): string | undefined {
-    const known = this.#known.get(key);
-    const arrived = known !== undefined && known.claimIndex >= claimIndex;
-    if (arrived) return known.tombstoned ? undefined : known.requestId;
+    const record = this.#recordByKey.get(key);
+    const isKnown = record !== undefined && record.claimIndex >= claimIndex;
+    if (isKnown) return record.tombstoned ? undefined : record.requestId;
     this.withdraw(key, claimIndex, now);
     return undefined;
   }
 
-  /** A call that was admitted surely did not run and never will. */
+  /** Tombstones a claim whose call certainly did not run and never will. */
   withdraw(key: string, claimIndex: number, now: number): void {
     this.#set(key, { claimIndex, requestId: "", tombstoned: true, at: now });
   }
 
-  #set(key: string, known: Known): void {
-    this.#known.delete(key);
-    this.#known.set(key, known);
+  #set(key: string, record: ClaimRecord): void {
+    this.#recordByKey.delete(key);
+    this.#recordByKey.set(key, record);
   }
 
-  #drop(now: number): void {
-    let looked = 0;
-    for (const [key, { at }] of this.#known) {
-      if (looked >= DROPPED_PER_CALL || now - at < KEPT_MILLISECONDS) return;
-      this.#known.delete(key);
-      looked += 1;
+  #dropExpired(now: number): void {
+    let dropped = 0;
+    for (const [key, { at }] of this.#recordByKey) {
+      if (
+        dropped >= MAX_DROPPED_PER_CALL || now - at < RETENTION_MILLISECONDS
+      ) return;
+      this.#recordByKey.delete(key);
+      dropped += 1;
     }
   }
 }
--- a/packages/core/src/claims/apply_claim.ts
+++ b/packages/core/src/claims/apply_claim.ts
@@ -5,22 +5,22 @@
 import type { ClaimRow } from "./claim_row.ts";
 
 const RETENTION_MILLISECONDS = 24 * 3_600_000;
-const EXPIRED_PER_CLAIM = 4;
+const MAX_EXPIRED_PER_CLAIM = 4;
 
-/** Drops a few of the oldest claims, by the leader's clock in the log. */
+/** Deletes a few of the expired claims, by the leader's clock in the log. */
 function expireClaims(claims: Map<string, ClaimRow>, now: number): void {
-  let looked = 0;
+  let expired = 0;
   for (const [id, row] of claims) {
-    if (looked >= EXPIRED_PER_CLAIM) return;
+    if (expired >= MAX_EXPIRED_PER_CLAIM) return;
     if (now - row.at < RETENTION_MILLISECONDS) return;
     claims.delete(id);
-    looked += 1;
+    expired += 1;
   }
 }
 
 /**
- * Gives a call that may not be repeated to one agent process. A key that
- * stands already is answered with its row: it never gets a second owner.
+ * Assigns a call that may not be repeated to one agent process. A key that is
+ * claimed already is refused with its row, and never gets a second owner.
  */
 export function applyClaim(
   state: ControlState,
@@ -29,14 +29,14 @@
 ): ChangeAnswer {
   expireClaims(state.claims, command.at);
   const id = claimId(command);
-  const standing = state.claims.get(id);
-  if (standing !== undefined) {
-    const same = standing.bodyDigest === command.bodyDigest &&
-      standing.service === command.service;
+  const existing = state.claims.get(id);
+  if (existing !== undefined) {
+    const isSameCall = existing.bodyDigest === command.bodyDigest &&
+      existing.service === command.service;
     return {
       accepted: false,
-      reason: same ? "claimed-before" : "key-used-for-another-call",
-      value: standing,
+      reason: isSameCall ? "claimed-before" : "key-used-for-another-call",
+      value: existing,
     };
   }
   const { kind: _kind, ...fields } = command;
--- a/packages/core/src/claims/apply_claim_cancellation.ts
+++ b/packages/core/src/claims/apply_claim_cancellation.ts
@@ -4,20 +4,20 @@
 import { claimId } from "./claim_id.ts";
 
 /**
- * Takes a claim back after its agent confirmed that it never ran and never
- * will. A claim that was settled meanwhile stays as it is.
+ * Deletes a claim after its agent confirmed that the call never ran and never
+ * will. A claim that was settled in the meantime is kept unchanged.
  */
 export function applyClaimCancellation(
   state: ControlState,
   command: CommandOf<"cancel-claim">,
 ): ChangeAnswer {
   const id = claimId(command);
-  const standing = state.claims.get(id);
-  if (standing === undefined || standing.claimIndex !== command.claimIndex) {
-    return { accepted: false, reason: "no-such-claim", value: standing };
+  const existing = state.claims.get(id);
+  if (existing === undefined || existing.claimIndex !== command.claimIndex) {
+    return { accepted: false, reason: "no-such-claim", value: existing };
   }
-  if (standing.state !== "claimed") {
-    return { accepted: false, reason: "settled-before", value: standing };
+  if (existing.state !== "claimed") {
+    return { accepted: false, reason: "settled-before", value: existing };
   }
   state.claims.delete(id);
   return { accepted: true };
--- a/packages/core/src/claims/apply_claim_settlement.ts
+++ b/packages/core/src/claims/apply_claim_settlement.ts
@@ -3,21 +3,21 @@
 import type { ControlState } from "../state/control_state.ts";
 import { claimId } from "./claim_id.ts";
 
-/** Records what became of a claimed call; the first record stands. */
+/** Records the outcome of a claimed call; the first recorded one is kept. */
 export function applyClaimSettlement(
   state: ControlState,
   command: CommandOf<"settle-claim">,
 ): ChangeAnswer {
   const id = claimId(command);
-  const standing = state.claims.get(id);
-  if (standing === undefined || standing.claimIndex !== command.claimIndex) {
-    return { accepted: false, reason: "no-such-claim", value: standing };
+  const existing = state.claims.get(id);
+  if (existing === undefined || existing.claimIndex !== command.claimIndex) {
+    return { accepted: false, reason: "no-such-claim", value: existing };
   }
-  if (standing.state !== "claimed") {
-    return { accepted: true, value: standing };
+  if (existing.state !== "claimed") {
+    return { accepted: true, value: existing };
   }
   const settled = {
-    ...standing,
+    ...existing,
     state: command.outcome,
     status: command.status,
     contentType: command.contentType,
--- a/packages/core/src/claims/claim_id.ts
+++ b/packages/core/src/claims/claim_id.ts
@@ -1,4 +1,4 @@
-/** The claims table's key: one idempotency key of one workspace. */
+/** Returns the claims table's key for an idempotency key of a workspace. */
 export function claimId(row: { workspace: string; key: string }): string {
   return `${row.workspace}\n${row.key}`;
 }
--- a/packages/core/src/claims/claim_row.ts
+++ b/packages/core/src/claims/claim_row.ts
@@ -1,14 +1,14 @@
-/** One call that may not be repeated. */
+/** A claim on a call that may not be repeated. */
 export type ClaimRow = {
   workspace: string;
   key: string;
   service: string;
   bodyDigest: string;
   backendServer: string;
-  /** The agent process that alone may run it. */
+  /** The only agent process that may run the call. */
   incarnation: string;
   requestId: string;
-  /** Log index of the claim; a cancelled key may be claimed anew. */
+  /** Log index of the claim; differs when a cancelled key is claimed again. */
   claimIndex: number;
   state: "claimed" | "ran" | "unknown";
   status: number;
--- a/packages/core/src/claims/claims_test.ts
+++ b/packages/core/src/claims/claims_test.ts
@@ -51,7 +51,7 @@
   assert.equal(answer.reason, "key-used-for-another-call");
 });
 
-test("the first recorded outcome stands, over a snapshot too", () => {
+test("the first recorded outcome is kept, also across a snapshot", () => {
   const state = emptyControlState();
   applyCommand(state, claim("k", "r1"), 1);
   const settle = (outcome: "ran" | "unknown"): Command => ({
@@ -73,10 +73,10 @@
   assert.equal((late.value as ClaimRow).state, "ran");
 });
 
-test("in any order of arrivals a call runs once, and never after not-run", () => {
-  // Story: calls, their late copies and questions about them reach an agent
-  // in any order, while the key is claimed, withdrawn and claimed anew. What
-  // was declared not run must not run later; nothing runs twice.
+test("in any order of arrival calls run once, and never after not-run", () => {
+  // Calls, their late copies and requests to settle them reach an agent in any
+  // order, while the key is claimed, withdrawn and claimed again. A call that
+  // was declared not run must not run later, and no key runs twice.
   const step = fc.record({
     kind: fc.constantFrom("claim", "arrive", "settle"),
     key: fc.constantFrom(...KEYS),
