--- a/packages/core/src/contracts/apply_contract_change.ts
+++ b/packages/core/src/contracts/apply_contract_change.ts
@@ -11,16 +11,16 @@
   command: CommandOf<"change-contract">,
   index: number,
 ): ChangeAnswer {
-  const standing = state.contracts.get(command.workspace);
+  const current = state.contracts.get(command.workspace);
   const decision = decideNumberedChange(
-    standing,
+    current,
     command.expected,
     command.digest,
   );
   if (decision.kind === "lost") {
-    return { accepted: false, reason: "number-replaced", value: standing };
+    return { accepted: false, reason: "number-replaced", value: current };
   }
-  if (decision.kind === "repeated") return { accepted: true, value: standing };
+  if (decision.kind === "repeated") return { accepted: true, value: current };
   const row: ContractRow = {
     workspace: command.workspace,
     number: decision.number,
@@ -30,7 +30,7 @@
     history: decision.history,
   };
   const { floorRate } = deriveLimits(row, state.entryHosts.size);
-  row.highestFloor = Math.max(standing?.highestFloor ?? 0, floorRate);
+  row.highestFloor = Math.max(current?.highestFloor ?? 0, floorRate);
   state.contracts.set(row.workspace, row);
   state.limitsChangedAt = index;
   return { accepted: true, value: row };
--- a/packages/core/src/contracts/contract_changes_test.ts
+++ b/packages/core/src/contracts/contract_changes_test.ts
@@ -27,9 +27,9 @@
   };
 }
 
-test("of two changes under one number exactly one wins", () => {
-  // Story: two operators change a contract from the same number. One wins,
-  // the other is told what stands and nothing of its change is kept.
+test("exactly one of two changes to the same number wins", () => {
+  // Two operators change a contract from the same number. One wins; the other
+  // gets the current contract as its answer, and none of its change is kept.
   const state = emptyControlState();
   const first = applyCommand(state, change(0, 10), 1);
   const second = applyCommand(state, change(0, 20), 2);
@@ -40,7 +40,7 @@
   assert.equal(stands.content.requests_per_second, 10);
 });
 
-test("a change sent again gets the same answer and is applied once", () => {
+test("a resent change gets the same answer and is applied once", () => {
   const state = emptyControlState();
   applyCommand(state, change(0, 10), 1);
   const again = applyCommand(state, change(0, 10), 2);
@@ -52,7 +52,7 @@
   assert.equal(state.contracts.get("w")!.content.requests_per_second, 30);
 });
 
-test("retire against change: one wins, a retired contract can come back", () => {
+test("only a retirement or a change wins; retired contracts can return", () => {
   const state = emptyControlState();
   applyCommand(state, change(0, 10), 1);
   assert.ok(applyCommand(state, change(1, 10, true), 2).accepted);
@@ -61,7 +61,7 @@
   assert.ok(applyCommand(state, change(2, 50), 4).accepted);
 });
 
-test("changes agree with a naive list of accepted contents", () => {
+test("changes agree with a reference list of accepted contents", () => {
   console.log(`seed ${SEED}`);
   const step = fc.tuple(fc.nat(6), fc.integer({ min: 1, max: 3 }));
   fc.assert(
