--- a/packages/daemon/src/control/found_cluster.ts
+++ b/packages/daemon/src/control/bootstrap_cluster.ts
@@ -9,29 +9,29 @@
 import type { Settings } from "../settings/settings.ts";
 import type { ClientPool } from "../transport/client_pool.ts";
 
-const ASK_AGAIN_MILLISECONDS = 200;
-const CALL_MILLISECONDS = 1_000;
+const RETRY_MILLISECONDS = 200;
+const CALL_TIMEOUT_MILLISECONDS = 1_000;
 
-type Founding = {
+type Options = {
   settings: Settings;
   self: Member;
   clients: ClientPool;
   log: EventLog;
   isStopped: () => boolean;
-  /** Told the members of a group that this one is not part of yet. */
-  knownMembers: (membership: Membership) => void;
+  /** Called with the members of a cluster that this host has not joined. */
+  onMembership: (membership: Membership) => void;
 };
 
 type Introduction = { member: Member; founded: Membership | undefined };
 
 async function introduce(
-  options: Founding,
+  options: Options,
   address: string,
 ): Promise<Introduction | undefined> {
   const client = options.clients.client(PeerService, address);
   try {
     const answer = await client.introduce({ member: options.self }, {
-      timeoutMs: CALL_MILLISECONDS,
+      timeoutMs: CALL_TIMEOUT_MILLISECONDS,
     });
     if (answer.member === undefined) return undefined;
     const founded = (answer.founded?.members.length ?? 0) > 0;
@@ -45,14 +45,18 @@
 }
 
 /**
- * Finds the members that this one founds the log with, or waits to be taken
- * in. Ids have a random part made with the data folder. So a voter that lost
- * its disk comes back under an id that no membership names: it can't vote
- * twice in a term that it has forgotten, and waits until an operator
+ * Returns the members to start the log with. Retries until every founder has
+ * answered, or one answers that the cluster exists. Returns an empty membership
+ * if it exists and this host is not a voter in it, so that the host has to be
+ * added, and undefined if stopped.
+ *
+ * Member ids have a random part generated with the data folder. A voter that
+ * lost its disk therefore returns under an id that no membership contains: it
+ * can't vote twice in a term that it has forgotten, and waits until an operator
  * replaces it.
  */
-export async function foundCluster(
-  options: Founding,
+export async function bootstrapCluster(
+  options: Options,
 ): Promise<Membership | undefined> {
   const founders = options.settings.control!.founders;
   const others = founders.filter((founder) =>
@@ -64,13 +68,14 @@
     );
     const founded = answers.find((answer) => answer?.founded)?.founded;
     if (founded !== undefined) {
-      const named = founded.members.find((member) =>
+      const ownEntry = founded.members.find((member) =>
         member.id === options.self.id
       );
-      // A learner that has stored nothing yet starts like one not taken in.
-      if (named !== undefined && !named.learner) return founded;
+      // A learner that has stored nothing yet starts like a host that has not
+      // joined.
+      if (ownEntry !== undefined && !ownEntry.learner) return founded;
       options.log.warn("waiting-to-be-taken-in", { member: options.self.id });
-      options.knownMembers(founded);
+      options.onMembership(founded);
       return create(MembershipSchema);
     } else if (answers.every((answer) => answer !== undefined)) {
       const members = [options.self, ...answers.map((answer) => answer.member)]
@@ -78,7 +83,7 @@
         .map((member) => create(MemberSchema, { ...member, learner: false }));
       return create(MembershipSchema, { members });
     }
-    await new Promise((resolve) => setTimeout(resolve, ASK_AGAIN_MILLISECONDS));
+    await new Promise((resolve) => setTimeout(resolve, RETRY_MILLISECONDS));
   }
   return undefined;
 }
--- a/packages/daemon/src/control/may_found_cluster.ts
+++ b/packages/daemon/src/control/can_bootstrap_cluster.ts
@@ -2,11 +2,11 @@
 import type { Settings } from "../settings/settings.ts";
 
 /**
- * Whether a control host at `address` may found a cluster: it has no log, and
- * is a founder at a first start. A member that was taken in has a log, though
- * it founded nothing.
+ * Whether a control host at `address` may bootstrap a cluster: it has no log
+ * and is a founder that the settings allow to do so. A member that joined an
+ * existing cluster has a log, though it bootstrapped nothing.
  */
-export function mayFoundCluster(
+export function canBootstrapCluster(
   { control }: Settings,
   address: string,
   { entries, hardState, snapshot }: RestoredLog,
@@ -14,7 +14,8 @@
   const isEmpty = entries.length === 0 && hardState.term === 0 &&
     snapshot.lastIndex === 0;
   const { may_found, tolerated_losses, founders } = control!;
-  // Without automatic membership a host that is no founder waits likewise.
+  // Without automatic membership (tolerated_losses), a host that is not a
+  // founder also asks the founders and waits.
   if (tolerated_losses === undefined) return isEmpty;
   return isEmpty && may_found &&
     founders.some((founder) => founder.address === address);
--- a/packages/daemon/src/control/control_app.ts
+++ b/packages/daemon/src/control/control_app.ts
@@ -23,43 +23,44 @@
 import { splitAddress } from "../transport/split_address.ts";
 import { ControlHost } from "./control_host.ts";
 import { controlRoutes } from "./control_routes.ts";
-import { foundCluster } from "./found_cluster.ts";
+import { bootstrapCluster } from "./bootstrap_cluster.ts";
 import { joinCluster } from "./join_cluster.ts";
-import { mayFoundCluster } from "./may_found_cluster.ts";
-import { MembershipKeeper } from "./membership_keeper.ts";
+import { canBootstrapCluster } from "./can_bootstrap_cluster.ts";
+import { MembershipManager } from "./membership_manager.ts";
 import { PeerLinks } from "./peer_links.ts";
-import { PlatformDesk } from "./platform_desk.ts";
+import { PlatformServices } from "./platform_services.ts";
 import { RaftDriver } from "./raft_driver.ts";
 import { replaceFounder } from "./replace_founder.ts";
 
-const TRANSFER_MILLISECONDS = 3_000;
-const POLL_MILLISECONDS = 20;
+const LEADERSHIP_TRANSFER_MILLISECONDS = 3_000;
+const TRANSFER_POLL_MILLISECONDS = 20;
 
 type Options = {
   settings: Settings;
   clients: ClientPool;
   log: EventLog;
   stopProcess: (reason: string) => void;
-  /** Present where a platform's operators and backend servers call. */
+  /** Set in a platform's build, where operators and backend servers call. */
   platform: PlatformEdge | undefined;
 };
 
-/** A control host: one member of the replicated log, and its services. */
+/** Runs a control host: one Raft member and the services built on it. */
 export class ControlApp {
   #options: Options;
   #folder: DataFolder;
   #self: Member;
   #links: PeerLinks;
-  /** Control hosts that the settings name. */
+  /** Addresses of the founders in the settings. */
   #seeds: string[];
-  #founded: Membership | undefined;
+  /** Restored from disk or bootstrapped; used until the Raft node runs. */
+  #membership: Membership | undefined;
   #knownMembers: Member[] = [];
   #driver: RaftDriver | undefined;
   #control: ControlHost | undefined;
-  #keeper: MembershipKeeper | undefined;
-  #desk: PlatformDesk | undefined;
-  #started$ = new Subject<ControlHost>();
-  #stopped = false;
+  #membershipManager: MembershipManager | undefined;
+  #platformServices: PlatformServices | undefined;
+  #memberStarted$ = new Subject<ControlHost>();
+  #isStopped = false;
   #startGate = new StartGate({
     startedAt: monotonicMilliseconds(),
     isCurrent: () => this.#control?.isCaughtUp ?? false,
@@ -82,9 +83,9 @@
       dataCentre: settings.data_centre,
     });
     const { membership } = folder.restored.snapshot;
-    if ((membership?.members.length ?? 0) > 0) this.#founded = membership;
+    if ((membership?.members.length ?? 0) > 0) this.#membership = membership;
     if (options.platform !== undefined) {
-      this.#desk = this.#openDesk(options.platform);
+      this.#platformServices = this.#createPlatformServices(options.platform);
     }
   }
 
@@ -104,16 +105,16 @@
     controlRoutes({
       self: this.#self,
       ring: this.#options.log.ring,
-      founded: () => this.#control?.node.membership ?? this.#founded,
+      membership: () => this.#control?.node.membership ?? this.#membership,
       control: () => this.#control,
       driver: () => this.#driver,
-      takeCandidate: (member) => this.#keeper?.takeCandidate(member),
+      addCandidate: (member) => this.#membershipManager?.addCandidate(member),
       replaceMember: (name) => this.#replaceMember(name),
     })(router);
-    this.#desk?.routes(router);
+    this.#platformServices?.routes(router);
   }
 
-  /** Whether a connection from this IP address is taken in now. */
+  /** Whether to accept a connection from this IP address now. */
   mayConnect(ip: string): boolean {
     return this.#startGate.admits(ip, monotonicMilliseconds());
   }
@@ -122,9 +123,12 @@
     return this.#control;
   }
 
-  /** Begins in the background: founding waits for the other founders. */
+  /**
+   * Starts the platform services, then the Raft member in the background,
+   * since bootstrapping a cluster waits for the other founders.
+   */
   async start(): Promise<Result<void, string>> {
-    const opened = await this.#desk?.start();
+    const opened = await this.#platformServices?.start();
     if (opened?.isErr) return Result.err(opened.error);
     this.#startMember().catch((error) =>
       this.#options.stopProcess(String(error.stack ?? error))
@@ -132,7 +136,7 @@
     return Result.ok(undefined);
   }
 
-  /** Other founders may be named than at the start, as hosts to turn to. */
+  /** Takes over changed founders as the addresses of control hosts to try. */
   reload(settings: Settings): void {
     const founders = settings.control?.founders ?? [];
     if (founders.length > 0) {
@@ -140,21 +144,24 @@
     }
   }
 
-  /** Hands the lead on first, so that no change is refused meanwhile. */
+  /**
+   * Transfers leadership before stopping, so that no change is refused in the
+   * meantime.
+   */
   async stop(): Promise<void> {
-    this.#stopped = true;
+    this.#isStopped = true;
     const node = this.#control?.node;
-    const until = monotonicMilliseconds() + TRANSFER_MILLISECONDS;
+    const deadline = monotonicMilliseconds() + LEADERSHIP_TRANSFER_MILLISECONDS;
     if (node?.transferLeadership(monotonicMilliseconds())) {
       while (
         node.isLeading(monotonicMilliseconds()) &&
-        monotonicMilliseconds() < until
+        monotonicMilliseconds() < deadline
       ) {
-        await pause(POLL_MILLISECONDS);
+        await pause(TRANSFER_POLL_MILLISECONDS);
       }
     }
-    this.#keeper?.stop();
-    this.#desk?.stop();
+    this.#membershipManager?.stop();
+    this.#platformServices?.stop();
     await this.#driver?.stop();
     this.#links.close();
   }
@@ -163,19 +170,19 @@
     const { settings } = this.#options;
     const { restored } = this.#folder;
     if (
-      this.#founded === undefined &&
-      mayFoundCluster(settings, this.#self.address, restored)
-    ) await this.#found();
-    if (this.#stopped) return;
+      this.#membership === undefined &&
+      canBootstrapCluster(settings, this.#self.address, restored)
+    ) await this.#bootstrap();
+    if (this.#isStopped) return;
     this.#openMember();
     const { tolerated_losses } = settings.control!;
     if (tolerated_losses === undefined) return;
-    this.#keeper = new MembershipKeeper({
+    this.#membershipManager = new MembershipManager({
       control: this.#control!,
       wantedVoters: 2 * tolerated_losses + 1,
       log: this.#options.log,
     });
-    await this.#join();
+    await this.#requestMembership();
   }
 
   #openMember(): void {
@@ -203,7 +210,7 @@
     });
     this.#driver = driver;
     this.#control = new ControlHost({ node, driver, log }, state);
-    this.#started$.next(this.#control);
+    this.#memberStarted$.next(this.#control);
     driver.start();
     log.info("control-started", {
       member: node.id,
@@ -212,23 +219,27 @@
     });
   }
 
-  #join(): Promise<void> {
+  #requestMembership(): Promise<void> {
     const { clients, log } = this.#options;
     return joinCluster({
       self: this.#self,
       clients,
       log,
       addresses: () => this.#controlAddresses(),
-      isHeard: () => this.#control!.node.leaderId !== "",
-      isStopped: () => this.#stopped,
-      learnMembers: ({ members }) => {
+      hasLeader: () => this.#control!.node.leaderId !== "",
+      isStopped: () => this.#isStopped,
+      onMembership: ({ members }) => {
         this.#knownMembers = members;
-        this.#driver?.learnMembers(members);
+        this.#driver?.addKnownMembers(members);
       },
     });
   }
 
-  /** Members by the log, and what the settings and others' answers name. */
+  /**
+   * Addresses of the members in the log, or of those that other hosts named
+   * while the log has none. Adds the founders in the settings until there is a
+   * leader.
+   */
   #controlAddresses(): string[] {
     const members = this.#control?.node.membership.members ?? [];
     const known = members.length > 0 ? members : this.#knownMembers;
@@ -237,25 +248,25 @@
     return [...new Set([...addresses, ...this.#seeds])];
   }
 
-  #openDesk(platform: PlatformEdge): PlatformDesk {
-    return new PlatformDesk({
+  #createPlatformServices(platform: PlatformEdge): PlatformServices {
+    return new PlatformServices({
       ...this.#options,
       platform,
-      started$: this.#started$,
+      started$: this.#memberStarted$,
       control: () => this.#control,
-      logState: () => this.#control?.state ?? emptyControlState(),
+      replicatedState: () => this.#control?.state ?? emptyControlState(),
       controlAddresses: () => this.#controlAddresses(),
     });
   }
 
-  async #found(): Promise<void> {
-    const membership = await foundCluster({
+  async #bootstrap(): Promise<void> {
+    const membership = await bootstrapCluster({
       settings: this.#options.settings,
       self: this.#self,
       clients: this.#options.clients,
       log: this.#options.log,
-      isStopped: () => this.#stopped,
-      knownMembers: ({ members }) => {
+      isStopped: () => this.#isStopped,
+      onMembership: ({ members }) => {
         this.#knownMembers = members;
       },
     });
@@ -268,7 +279,7 @@
     });
     if (saved.isErr) return this.#options.stopProcess(saved.error.detail);
     this.#folder.restored.snapshot = snapshot;
-    this.#founded = membership;
+    this.#membership = membership;
   }
 
   async #replaceMember(name: string): Promise<Result<string, string>> {
--- a/packages/daemon/src/control/control_host.ts
+++ b/packages/daemon/src/control/control_host.ts
@@ -19,32 +19,40 @@
 import type { RaftDriver } from "./raft_driver.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-const PROPOSAL_MILLISECONDS = 5_000;
+const PROPOSAL_TIMEOUT_MILLISECONDS = 5_000;
 const READ_POLL_MILLISECONDS = 5;
-const FOLLOWED_KEPT = 4_096;
-/** An entry host's lease, and a little for the way to it. */
-const LEASE_MILLISECONDS = 1_600;
+const MAX_RECENT_COMMANDS = 4_096;
+/** An entry host's lease of 1,500 ms plus 100 ms for the network. */
+const PREDECESSOR_LEASE_MILLISECONDS = 1_600;
 
-type Waiter = { term: number; resolve: (outcome: ProposalOutcome) => void };
-type Followed = { index: number; bytes: Uint8Array };
+type PendingProposal = {
+  term: number;
+  resolve: (outcome: ProposalOutcome) => void;
+};
+type FollowedCommand = { index: number; bytes: Uint8Array };
 
-/** A control host: the replicated state, and who may change it. */
+/**
+ * The replicated state of a control host. Applies committed entries and, on
+ * the leader, proposes commands and divides limits among the entry hosts.
+ */
 export class ControlHost {
-  readonly followed$ = new Subject<Followed>();
-  /** The routing configuration or the named weights may have changed. */
-  readonly routing$ = new Subject<void>();
-  /** The tables were replaced by a snapshot; followers start over. */
-  readonly replaced$ = new Subject<void>();
+  /** Emits the commands that entry hosts follow, once applied here. */
+  readonly commands$ = new Subject<FollowedCommand>();
+  /** Emits when the routing configuration or named weights may have changed. */
+  readonly configurationChanged$ = new Subject<void>();
+  /** Emits when a snapshot replaced the state; followers need all of it. */
+  readonly stateReplaced$ = new Subject<void>();
   readonly node: RaftNode;
   #driver: RaftDriver;
   #log: EventLog;
   #state: ControlState;
-  #waiters = new Map<number, Waiter>();
-  #followed: Followed[] = [];
-  #followedFrom: number;
+  #pendingProposals = new Map<number, PendingProposal>();
+  #recentCommands: FollowedCommand[] = [];
+  /** `#recentCommands` holds all followed commands after this log index. */
+  #recentCommandsAfter: number;
   #allotter: LimitAllotter | undefined;
   #leadingSince = 0;
-  #inForce = new InForceWaiters();
+  #inForceWaiters = new InForceWaiters();
 
   constructor(
     options: { node: RaftNode; driver: RaftDriver; log: EventLog },
@@ -54,28 +62,31 @@
     this.#driver = options.driver;
     this.#log = options.log;
     this.#state = state;
-    this.#followedFrom = state.appliedIndex;
-    // From the first moment: what a new leader waits for counts from there.
+    this.#recentCommandsAfter = state.appliedIndex;
+    // Creates the allotter as soon as this host leads, because the time that a
+    // new leader waits for its predecessor's leases and grants starts there.
     this.#driver.leadership$.subscribe(() =>
-      this.allotter(monotonicMilliseconds())
+      this.getAllotter(monotonicMilliseconds())
     );
     this.#driver.committed$.subscribe((entry) => this.#apply(entry));
-    this.#driver.installed$.subscribe((snapshot) => this.#install(snapshot));
+    this.#driver.snapshotInstalled$.subscribe((snapshot) =>
+      this.#installSnapshot(snapshot)
+    );
   }
 
   get leadership$(): Observable<void> {
     return this.#driver.leadership$;
   }
 
-  /** Address of the member that leads; empty for none known. */
+  /** Address of the leader; empty while none is known. */
   get leaderAddress(): string {
     const { leaderId, membership } = this.node;
     return membership.members.find(({ id }) => id === leaderId)?.address ?? "";
   }
 
   /**
-   * Whether the tables hold all that was accepted before the term that is
-   * led now: its first entry follows everything older.
+   * Whether the applied state includes every entry committed before the
+   * current leader's term. The first entry of that term follows all of them.
    */
   get isCaughtUp(): boolean {
     return this.node.leaderId !== "" && this.node.hasCommittedOwnTerm &&
@@ -86,15 +97,18 @@
     return this.#state;
   }
 
-  /** Leads, is heard by a majority, and knows everything accepted. */
+  /**
+   * Whether this host leads, a majority has answered it recently, and it has
+   * committed an entry of its own term, so that it knows all committed entries.
+   */
   isLeading(now: number): boolean {
     const leading = this.node.isLeading(now) && this.node.hasCommittedOwnTerm;
     if (!leading) this.#allotter = undefined;
     return leading;
   }
 
-  /** The leader's division of limits; undefined when not leading. */
-  allotter(now: number): LimitAllotter | undefined {
+  /** Returns the leader's limit allotter; undefined when not leading. */
+  getAllotter(now: number): LimitAllotter | undefined {
     if (!this.isLeading(now)) return undefined;
     if (this.#allotter === undefined) {
       this.#allotter = new LimitAllotter(now, this.node.term);
@@ -104,10 +118,10 @@
     return this.#allotter;
   }
 
-  /** Commands after `cursor`, or undefined when the tables must be sent. */
-  followedAfter(cursor: number): Followed[] | undefined {
-    if (cursor < this.#followedFrom) return undefined;
-    return this.#followed.filter((followed) => followed.index > cursor);
+  /** Commands after `cursor`; undefined if the whole state must be sent. */
+  commandsAfter(cursor: number): FollowedCommand[] | undefined {
+    if (cursor < this.#recentCommandsAfter) return undefined;
+    return this.#recentCommands.filter((followed) => followed.index > cursor);
   }
 
   encodeForFollowers(): Uint8Array {
@@ -124,33 +138,37 @@
     const bytes = new TextEncoder().encode(JSON.stringify(stamped));
     const index = this.node.propose(bytes, now);
     if (index.isErr) return { kind: "not-proposed" };
-    this.#driver.flushSoon();
-    const outcome = await this.#wait(index.value);
+    this.#driver.scheduleFlush();
+    const outcome = await this.#waitForCommit(index.value);
     if (outcome.kind !== "committed" || !options.untilInForce) return outcome;
-    return { ...outcome, ...(await this.#untilInForce(outcome.index)) };
+    return { ...outcome, ...(await this.#waitUntilInForce(outcome.index)) };
   }
 
-  /** One membership change; whether it was begun shows in the node. */
+  /** Proposes one membership change. The node shows whether it was accepted. */
   proposeMembership(membership: Membership): void {
     const begun = this.node.proposeMembership(
       membership,
       monotonicMilliseconds(),
     );
-    if (begun.isOk) this.#driver.flushSoon();
+    if (begun.isOk) this.#driver.scheduleFlush();
   }
 
-  /** Confirms that this host still leads; the state is then current. */
+  /**
+   * Linearizable read: confirms with a majority that this host still leads and
+   * waits until the commit index is applied. `state` is then current.
+   */
   async read(): Promise<ProposalOutcome> {
-    const round = this.node.startReadRound(monotonicMilliseconds());
-    if (round.isErr) return { kind: "not-proposed" };
+    const readRound = this.node.startReadRound(monotonicMilliseconds());
+    if (readRound.isErr) return { kind: "not-proposed" };
     const index = this.node.commitIndex;
-    this.#driver.flushSoon();
-    const until = monotonicMilliseconds() + PROPOSAL_MILLISECONDS;
+    this.#driver.scheduleFlush();
+    const deadline = monotonicMilliseconds() + PROPOSAL_TIMEOUT_MILLISECONDS;
     while (
-      this.node.confirmedRound < round.value || this.#state.appliedIndex < index
+      this.node.confirmedRound < readRound.value ||
+      this.#state.appliedIndex < index
     ) {
       if (
-        monotonicMilliseconds() > until ||
+        monotonicMilliseconds() > deadline ||
         !this.isLeading(monotonicMilliseconds())
       ) {
         return { kind: "not-proposed" };
@@ -168,28 +186,35 @@
     };
   }
 
-  /** Called after each report: a change may have come in force. */
+  /**
+   * Resolves the waiting changes that all entry hosts with a lease have
+   * applied. Called after each entry host's report.
+   */
   checkInForce(now: number): void {
-    const allotter = this.allotter(now);
+    const allotter = this.getAllotter(now);
     if (allotter === undefined) return;
-    const live = allotter.liveHosts(now);
-    const away = [...this.#state.entryHosts.values()]
-      .filter(({ host, stopped }) => !stopped && !live.has(host))
+    const appliedIndexes = allotter.liveHosts(now);
+    const unleased = [...this.#state.entryHosts.values()]
+      .filter(({ host, stopped }) => !stopped && !appliedIndexes.has(host))
       .map(({ host }) => host);
-    // A new leader has not heard of the leases that its predecessor gave.
-    if (away.length > 0 && now - this.#leadingSince < LEASE_MILLISECONDS) {
+    // A new leader doesn't know the leases that its predecessor confirmed:
+    // wait until they have expired.
+    if (
+      unleased.length > 0 &&
+      now - this.#leadingSince < PREDECESSOR_LEASE_MILLISECONDS
+    ) {
       return;
     }
-    this.#inForce.check(live, away);
+    this.#inForceWaiters.settleApplied(appliedIndexes, unleased);
   }
 
-  #wait(index: number): Promise<ProposalOutcome> {
+  #waitForCommit(index: number): Promise<ProposalOutcome> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
-        this.#waiters.delete(index);
+        this.#pendingProposals.delete(index);
         resolve({ kind: "unknown" });
-      }, PROPOSAL_MILLISECONDS);
-      this.#waiters.set(index, {
+      }, PROPOSAL_TIMEOUT_MILLISECONDS);
+      this.#pendingProposals.set(index, {
         term: this.node.term,
         resolve: (outcome) => {
           clearTimeout(timer);
@@ -199,34 +224,38 @@
     });
   }
 
-  #untilInForce(index: number) {
-    const waiting = this.#inForce.wait(index, PROPOSAL_MILLISECONDS);
+  #waitUntilInForce(index: number) {
+    const inForce = this.#inForceWaiters.wait(
+      index,
+      PROPOSAL_TIMEOUT_MILLISECONDS,
+    );
     this.checkInForce(monotonicMilliseconds());
-    return waiting;
+    return inForce;
   }
 
   #apply(entry: LogEntry): void {
-    const waiter = this.#waiters.get(entry.index);
-    this.#waiters.delete(entry.index);
+    const proposal = this.#pendingProposals.get(entry.index);
+    this.#pendingProposals.delete(entry.index);
     if (entry.kind !== EntryKind.COMMAND) {
       this.#state.appliedIndex = entry.index;
-      waiter?.resolve({ kind: "not-proposed" });
+      proposal?.resolve({ kind: "not-proposed" });
       return;
     }
     const command = JSON.parse(new TextDecoder().decode(entry.data)) as Command;
     const answer = applyCommand(this.#state, command, entry.index);
     if (command.kind === "replace-routing" || command.kind === "name-weights") {
-      this.routing$.next();
+      this.configurationChanged$.next();
     }
     if (isFollowedCommand(command)) {
-      this.#follow({ index: entry.index, bytes: entry.data });
+      this.#publishCommand({ index: entry.index, bytes: entry.data });
     }
-    // Another leader's entry took this index: what was proposed is gone.
-    if (waiter !== undefined && waiter.term !== entry.term) {
-      waiter.resolve({ kind: "not-proposed" });
+    // An entry of another term was committed at this index, so the proposal
+    // was lost.
+    if (proposal !== undefined && proposal.term !== entry.term) {
+      proposal.resolve({ kind: "not-proposed" });
       return;
     }
-    waiter?.resolve({
+    proposal?.resolve({
       kind: "committed",
       index: entry.index,
       answer,
@@ -235,20 +264,20 @@
     });
   }
 
-  #follow(followed: Followed): void {
-    this.#followed.push(followed);
-    if (this.#followed.length > FOLLOWED_KEPT) {
-      this.#followedFrom = this.#followed.shift()!.index;
+  #publishCommand(followed: FollowedCommand): void {
+    this.#recentCommands.push(followed);
+    if (this.#recentCommands.length > MAX_RECENT_COMMANDS) {
+      this.#recentCommandsAfter = this.#recentCommands.shift()!.index;
     }
-    this.followed$.next(followed);
+    this.commands$.next(followed);
   }
 
-  #install(snapshot: SnapshotData): void {
+  #installSnapshot(snapshot: SnapshotData): void {
     this.#state = decodeControlState(snapshot.state);
     this.#state.appliedIndex = snapshot.lastIndex;
-    this.#followed = [];
-    this.#followedFrom = snapshot.lastIndex;
-    this.replaced$.next();
-    this.routing$.next();
+    this.#recentCommands = [];
+    this.#recentCommandsAfter = snapshot.lastIndex;
+    this.stateReplaced$.next();
+    this.configurationChanged$.next();
   }
 }
--- a/packages/daemon/src/control/control_operations.ts
+++ b/packages/daemon/src/control/control_operations.ts
@@ -3,13 +3,16 @@
 type RoutingAnswer =
   | { kind: "accepted" }
   | { kind: "invalid"; detail: string }
-  /** Nothing is known of its fate: it may be sent again. */
+  /** The outcome is unknown; the change can be sent again. */
   | { kind: "unavailable" };
 
-/** What operators and backend servers can ask of a control host. */
+/** The calls that operators and backend servers make to a control host. */
 export interface ControlOperations {
   replaceRouting(document: string): Promise<RoutingAnswer>;
-  /** The newest accepted configuration, or that none can be shown to be. */
+  /**
+   * The latest committed configuration; `none` if there is none yet,
+   * `unavailable` if no leader confirmed the read in time.
+   */
   readRouting(): Promise<
     { kind: "document"; document: string } | { kind: "none" } | {
       kind: "unavailable";
@@ -20,6 +23,6 @@
   ): Promise<"accepted" | "unavailable">;
   hearStanding(standing: BackendStanding): void;
   hearLeaving(instance: string): void;
-  /** Something that nobody could read, as from a newer or broken sender. */
+  /** Logs input that could not be decoded, as from a newer or broken sender. */
   noteUnreadable(what: string, detail: string): void;
 }
--- a/packages/daemon/src/control/control_gate.ts
+++ b/packages/daemon/src/control/control_operations_handler.ts
@@ -19,11 +19,14 @@
 import type { ControlOperations } from "./control_operations.ts";
 import type { SharedView } from "./shared_view.ts";
 
-/** Callers turn to the next host after a second; this leaves time to say so. */
-const ANSWER_MILLISECONDS = 850;
-const LEADERLESS_PAUSE_MILLISECONDS = 25;
-/** Below it a forwarded call can't come back in time. */
-const LEAST_CALL_MILLISECONDS = 20;
+/**
+ * Callers try the next host after 1 s. This deadline leaves time for an
+ * `unavailable` answer to reach them.
+ */
+const ANSWER_DEADLINE_MILLISECONDS = 850;
+const NO_LEADER_RETRY_MILLISECONDS = 25;
+/** With less time left, a forwarded call can't return before the deadline. */
+const MIN_FORWARD_MILLISECONDS = 20;
 
 type Options = {
   control: () => ControlHost | undefined;
@@ -35,11 +38,14 @@
   decodeRouting: RoutingDecoder;
 };
 
-type Standing = { version: number; document: string } | undefined;
-type Done = { standing: Standing } | undefined;
+type CommittedRouting = { version: number; document: string } | undefined;
+type ExecutionResult = { routing: CommittedRouting } | undefined;
 
-/** A control host's door for operators and backend servers. */
-export class ControlGate implements ControlOperations {
+/**
+ * Handles the calls of operators and backend servers on a control host.
+ * Executes commands here or forwards them to the leader.
+ */
+export class ControlOperationsHandler implements ControlOperations {
   #options: Options;
 
   constructor(options: Options) {
@@ -49,17 +55,17 @@
   async replaceRouting(document: string) {
     const { decodeRouting, log } = this.#options;
     const decoded = decodeRouting(document);
-    if (decoded.isErr) return this.#refuse(decoded.error);
+    if (decoded.isErr) return this.#rejectRouting(decoded.error);
     const { version } = decoded.value;
     const fault = findConfigurationFault(decoded.value);
     if (fault !== undefined) {
-      return this.#refuse(`${fault.field}: ${fault.detail}`);
+      return this.#rejectRouting(`${fault.field}: ${fault.detail}`);
     }
-    // What stands is committed: an old change that arrives again is
-    // acknowledged without the leader.
-    const standing = this.#applied?.version ?? -1;
+    // The applied routing is committed, so a repeated older change is
+    // acknowledged without asking the leader.
+    const standing = this.#appliedRouting?.version ?? -1;
     const done = version <= standing ||
-      (await this.#carryOut({ kind: "replace-routing", version, document })) !==
+      (await this.#execute({ kind: "replace-routing", version, document })) !==
         undefined;
     log.info("routing-change", {
       version,
@@ -72,18 +78,18 @@
   }
 
   async readRouting() {
-    const done = await this.#carryOut(undefined);
+    const done = await this.#execute(undefined);
     if (done === undefined) return { kind: "unavailable" as const };
-    return done.standing === undefined
+    return done.routing === undefined
       ? { kind: "none" as const }
-      : { kind: "document" as const, document: done.standing.document };
+      : { kind: "document" as const, document: done.routing.document };
   }
 
   async nameWeights(named: { model: string; version: number }) {
     const { control, log } = this.#options;
     const known = control()?.state.namedWeights.get(named.model)?.version ?? 0;
     const done = named.version <= known ||
-      (await this.#carryOut({ kind: "name-weights", ...named, at: 0 })) !==
+      (await this.#execute({ kind: "name-weights", ...named, at: 0 })) !==
         undefined;
     log.info("weights-named", {
       ...named,
@@ -92,99 +98,108 @@
     return done ? "accepted" as const : "unavailable" as const;
   }
 
-  /** Keeps a blame over a loss of all power; tried for a moment only. */
-  async keepBlame(row: BlamedRequestRow): Promise<boolean> {
+  /**
+   * Commits a blame, so that it survives a power loss of all control hosts.
+   * Returns false if this did not succeed within 850 ms.
+   */
+  async persistBlame(row: BlamedRequestRow): Promise<boolean> {
     const command = { kind: "blame-request" as const, ...row };
-    return await this.#carryOut(command) !== undefined;
+    return await this.#execute(command) !== undefined;
   }
 
-  /** Keeps what speaks against a request ahead of a blame. */
-  async keepSuspicion(row: SuspectedRequestRow): Promise<boolean> {
+  /** Commits the evidence against a request that is not blamed yet. */
+  async persistSuspicion(row: SuspectedRequestRow): Promise<boolean> {
     const command = { kind: "suspect-request" as const, ...row };
-    return await this.#carryOut(command) !== undefined;
+    return await this.#execute(command) !== undefined;
   }
 
-  async liftBlame(fingerprint: string): Promise<boolean> {
+  async removeBlame(fingerprint: string): Promise<boolean> {
     const command = { kind: "lift-blame" as const, fingerprint };
-    return await this.#carryOut(command) !== undefined;
+    return await this.#execute(command) !== undefined;
   }
 
   hearStanding(standing: BackendStanding): void {
-    this.#options.view.hear(standing);
+    this.#options.view.addLocalStanding(standing);
   }
 
   hearLeaving(instance: string): void {
-    this.#options.view.hearLeaving(instance);
+    this.#options.view.removeLocalBackend(instance);
   }
 
   noteUnreadable(what: string, detail: string): void {
     this.#options.log.warn("unreadable", { what, detail });
   }
 
-  /** Another control host hands on what it was asked; only a leader does it. */
-  async takeForwarded(bytes: Uint8Array): Promise<ForwardResponse> {
+  /**
+   * Executes a command, or for no bytes a read, that another control host
+   * forwarded. Answers NOT_LEADING unless this host leads.
+   */
+  async handleForwarded(bytes: Uint8Array): Promise<ForwardResponse> {
     const command = bytes.length === 0
       ? undefined
       : JSON.parse(new TextDecoder().decode(bytes)) as Command;
-    const { outcome, standing } = await this.#carryOutHere(command);
-    if (standing === undefined) {
+    const { outcome, routing } = await this.#executeLocally(command);
+    if (routing === undefined) {
       return create(ForwardResponseSchema, { outcome });
     }
-    const document = new TextEncoder().encode(standing.document);
+    const document = new TextEncoder().encode(routing.document);
     return create(ForwardResponseSchema, {
       outcome,
-      routing: { version: standing.version, document },
+      routing: { version: routing.version, document },
     });
   }
 
-  get #applied(): Standing {
+  get #appliedRouting(): CommittedRouting {
     return this.#options.control()?.state.routing;
   }
 
-  #refuse(detail: string) {
+  #rejectRouting(detail: string) {
     this.#options.log.warn("routing-change", { outcome: "invalid", detail });
     return { kind: "invalid" as const, detail };
   }
 
   /**
-   * Commits a command, or shows what stands, with whoever leads; undefined
-   * when that could not be shown in time. Every command is idempotent, so one
-   * whose fate is not known is proposed again to the next leader.
+   * Commits a command, or for undefined reads the committed routing, on the
+   * current leader. Returns undefined if this did not succeed in time. Every
+   * command is idempotent, so one with an unknown outcome is proposed again,
+   * also to the next leader.
    */
-  async #carryOut(command: Command | undefined): Promise<Done> {
-    const until = monotonicMilliseconds() + ANSWER_MILLISECONDS;
+  async #execute(
+    command: Command | undefined,
+  ): Promise<ExecutionResult> {
+    const deadline = monotonicMilliseconds() + ANSWER_DEADLINE_MILLISECONDS;
     while (true) {
-      const left = until - monotonicMilliseconds();
-      if (left < LEAST_CALL_MILLISECONDS) return undefined;
+      const remaining = deadline - monotonicMilliseconds();
+      if (remaining < MIN_FORWARD_MILLISECONDS) return undefined;
       const done = await Promise.race([
-        this.#carryOutOnce(command, left),
-        pause(left).then(() => undefined),
+        this.#tryExecute(command, remaining),
+        pause(remaining).then(() => undefined),
       ]);
       if (done !== undefined) return done;
-      await pause(LEADERLESS_PAUSE_MILLISECONDS);
+      await pause(NO_LEADER_RETRY_MILLISECONDS);
     }
   }
 
-  async #carryOutOnce(
+  async #tryExecute(
     command: Command | undefined,
-    milliseconds: number,
-  ): Promise<Done> {
+    timeoutMilliseconds: number,
+  ): Promise<ExecutionResult> {
     const { control, leaderAddress, selfAddress } = this.#options;
     if (control()?.isLeading(monotonicMilliseconds())) {
-      const here = await this.#carryOutHere(command);
+      const here = await this.#executeLocally(command);
       return here.outcome === ForwardOutcome.DONE ? here : undefined;
     }
     const leader = leaderAddress();
     if (leader === "" || leader === selfAddress) return undefined;
-    return await this.#forward(leader, command, milliseconds);
+    return await this.#forward(leader, command, timeoutMilliseconds);
   }
 
-  async #carryOutHere(
+  async #executeLocally(
     command: Command | undefined,
-  ): Promise<{ outcome: ForwardOutcome; standing: Standing }> {
+  ): Promise<{ outcome: ForwardOutcome; routing: CommittedRouting }> {
     const control = this.#options.control();
     if (control === undefined) {
-      return { outcome: ForwardOutcome.NOT_LEADING, standing: undefined };
+      return { outcome: ForwardOutcome.NOT_LEADING, routing: undefined };
     }
     const outcome = command === undefined
       ? await control.read()
@@ -192,33 +207,35 @@
     if (outcome.kind === "committed") {
       return {
         outcome: ForwardOutcome.DONE,
-        standing: control.state.routing,
+        routing: control.state.routing,
       };
     }
     return {
       outcome: outcome.kind === "unknown"
         ? ForwardOutcome.UNKNOWN
         : ForwardOutcome.NOT_LEADING,
-      standing: undefined,
+      routing: undefined,
     };
   }
 
   async #forward(
     leader: string,
     command: Command | undefined,
-    milliseconds: number,
-  ): Promise<Done> {
+    timeoutMilliseconds: number,
+  ): Promise<ExecutionResult> {
     const { clients, log } = this.#options;
     const bytes = command === undefined
       ? new Uint8Array(0)
       : new TextEncoder().encode(JSON.stringify(command));
     try {
       const answer = await clients.client(FollowService, leader)
-        .forward({ command: bytes }, { timeoutMs: Math.floor(milliseconds) });
+        .forward({ command: bytes }, {
+          timeoutMs: Math.floor(timeoutMilliseconds),
+        });
       if (answer.outcome !== ForwardOutcome.DONE) return undefined;
       const { routing } = answer;
       return {
-        standing: routing && {
+        routing: routing && {
           version: routing.version,
           document: new TextDecoder().decode(routing.document),
         },
--- a/packages/daemon/src/control/control_routes.ts
+++ b/packages/daemon/src/control/control_routes.ts
@@ -9,35 +9,35 @@
 import type { RaftDriver } from "./raft_driver.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-/** Under load one acknowledgement stands for many messages. */
-const ACKNOWLEDGE_MILLISECONDS = 50;
+/** Under load one acknowledgement covers many messages. */
+const ACK_INTERVAL_MILLISECONDS = 50;
 
 type Options = {
   self: Member;
   ring: TimelineRing;
-  /** Undefined until the founding members are known. */
-  founded: () => Membership | undefined;
+  /** Undefined until the initial members are known. */
+  membership: () => Membership | undefined;
   control: () => ControlHost | undefined;
   driver: () => RaftDriver | undefined;
-  /** A host introduced itself, and may want to be taken in. */
-  takeCandidate: (member: Member) => void;
+  /** Called when a host introduces itself; the host may want to join. */
+  addCandidate: (member: Member) => void;
   replaceMember: (name: string) => Promise<Result<string, string>>;
 };
 
-/** The connect services of a control host. */
+/** Registers the Connect services for peers, entry hosts and operators. */
 export function controlRoutes(options: Options) {
   return (router: ConnectRouter): void => {
     router.service(PeerService, {
       introduce: ({ member }) => {
-        if (member !== undefined) options.takeCandidate(member);
-        return { member: options.self, founded: options.founded() };
+        if (member !== undefined) options.addCandidate(member);
+        return { member: options.self, founded: options.membership() };
       },
       async *exchange(messages) {
         let acknowledgedAt = 0;
         for await (const message of messages) {
           options.driver()?.receive(message);
           const now = monotonicMilliseconds();
-          if (now - acknowledgedAt < ACKNOWLEDGE_MILLISECONDS) continue;
+          if (now - acknowledgedAt < ACK_INTERVAL_MILLISECONDS) continue;
           acknowledgedAt = now;
           yield {};
         }
@@ -59,7 +59,7 @@
           leaderAddress: () => control.leaderAddress,
         });
         const reading = (async () => {
-          for await (const message of messages) session.take(message);
+          for await (const message of messages) session.handleMessage(message);
         })();
         reading.catch(() => undefined).finally(() => session.close());
         yield* toAsyncIterable(session.outgoing$);
--- /dev/null
+++ b/packages/daemon/src/control/crash_attributor.ts
@@ -0,0 +1,205 @@
+import { create } from "@bufbuild/protobuf";
+import type { Blame } from "@teaselrouter/core/crashes/blame.ts";
+import { CrashLedger } from "@teaselrouter/core/crashes/crash_ledger.ts";
+import type { CrashReport } from "@teaselrouter/core/crashes/crash_report.ts";
+import { NewsBudget } from "@teaselrouter/core/news/news_budget.ts";
+import {
+  type CrashNews,
+  CrashNewsSchema,
+} from "@teaselrouter/messages/follow.ts";
+import { Subject } from "rxjs";
+import { blameFields } from "../log/blame_fields.ts";
+import type { EventLog } from "../log/event_log.ts";
+import { decodeBlame } from "../transport/decode_blame.ts";
+import { decodeCrashReport } from "../transport/decode_crash_report.ts";
+import { encodeBlame } from "../transport/encode_blame.ts";
+import { encodeCrashReport } from "../transport/encode_crash_report.ts";
+import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
+
+/** Gateways detect and report the same server's end within this time. */
+const SETTLE_MILLISECONDS = 120;
+const REPORT_BATCH_MILLISECONDS = 50;
+/** Bounds the reports sent to each other control host to 10 KB/s. */
+const MAX_REPORTS_PER_SECOND = 150;
+/** A newly connected follower gets the latest blames, up to this number. */
+const MAX_INITIAL_BLAMES = 128;
+/** As many suspicions as the replicated state keeps. */
+const MAX_PERSISTED_FINGERPRINTS = 256;
+/**
+ * Many requests are in flight when a backend server ends, and each persisted
+ * suspicion costs a commit.
+ */
+const MAX_SUSPICIONS_PER_SECOND = 10;
+const EXPIRE_INTERVAL_MILLISECONDS = 10_000;
+
+type Options = { log: EventLog };
+
+type Suspicion = { fingerprint: string; incarnations: string[] };
+
+/**
+ * Finds requests that end the backend servers running them, from the reports
+ * of gateways and other control hosts. A request found responsible is blamed:
+ * gateways refuse it for a limited term.
+ */
+export class CrashAttributor {
+  /** New and cleared blames, for all followers of this host. */
+  readonly blameNews$ = new Subject<CrashNews>();
+  /** Reports that gateways sent to this host, for other control hosts. */
+  readonly localReports$ = new Subject<CrashNews>();
+  /** Blames decided here or sent by a gateway, to be committed. */
+  readonly blamed$ = new Subject<Blame>();
+  /** Requests that one more end would get blamed, to be committed as well. */
+  readonly suspected$ = new Subject<Suspicion>();
+  /** Fingerprints cleared because the request completed successfully. */
+  readonly cleared$ = new Subject<string>();
+  #options: Options;
+  #ledger = new CrashLedger({ settleMilliseconds: SETTLE_MILLISECONDS });
+  /** Fingerprints emitted as suspicions or restored; oldest first. */
+  #persisted = new Set<string>();
+  #suspicionBudget = new NewsBudget(MAX_SUSPICIONS_PER_SECOND);
+  #queuedReports: CrashReport[] = [];
+  #reportBudget = new NewsBudget(MAX_REPORTS_PER_SECOND);
+  #reportTimer: NodeJS.Timeout | undefined;
+  #decideTimer: NodeJS.Timeout | undefined;
+  #expireTimer: NodeJS.Timeout;
+
+  constructor(options: Options) {
+    this.#options = options;
+    this.#expireTimer = setInterval(
+      () => this.#ledger.expire(monotonicMilliseconds()),
+      EXPIRE_INTERVAL_MILLISECONDS,
+    );
+  }
+
+  stop(): void {
+    clearTimeout(this.#reportTimer);
+    clearTimeout(this.#decideTimer);
+    clearInterval(this.#expireTimer);
+  }
+
+  /** Adds news from a gateway that follows this host. */
+  addLocalNews(news: CrashNews): void {
+    const added = this.#addReports(news);
+    for (const { fingerprint } of added) this.#persistSuspicion(fingerprint);
+    this.#queueReports(added);
+    for (const blame of this.#addBlames(news)) this.blamed$.next(blame);
+  }
+
+  /** Adds the blames in the replicated state when this host starts. */
+  restoreBlames(blames: Blame[]): void {
+    const newBlames = blames.filter((blame) => this.#ledger.learn(blame));
+    if (newBlames.length > 0) this.#publishBlames(newBlames, "kept");
+  }
+
+  /** Adds news from another control host. */
+  addRemoteNews(news: CrashNews): void {
+    this.#addReports(news);
+    this.#addBlames(news);
+  }
+
+  /** The current blames, for a new follower; undefined if there are none. */
+  currentBlames(): CrashNews | undefined {
+    const blames = this.#ledger.blames().slice(-MAX_INITIAL_BLAMES);
+    return blames.length === 0 ? undefined : this.#encodeBlames(blames);
+  }
+
+  /** Adds the evidence in the replicated state on requests not blamed yet. */
+  restoreSuspicions(suspicions: Suspicion[]): void {
+    const now = monotonicMilliseconds();
+    for (const { fingerprint, incarnations } of suspicions) {
+      this.#persisted.add(fingerprint);
+      for (const incarnation of incarnations) {
+        const report = { fingerprint, incarnation, begunMilliseconds: 0 };
+        this.#ledger.report(report, now);
+      }
+    }
+  }
+
+  #persistSuspicion(fingerprint: string): void {
+    const isPersisted = this.#persisted.has(fingerprint);
+    if (isPersisted || this.#ledger.maySendAgain(fingerprint)) return;
+    if (this.#suspicionBudget.take(1, monotonicMilliseconds()) === 0) return;
+    this.#persisted.add(fingerprint);
+    if (this.#persisted.size > MAX_PERSISTED_FINGERPRINTS) {
+      this.#persisted.delete(this.#persisted.values().next().value!);
+    }
+    const incarnations = this.#ledger.incarnationsOf(fingerprint);
+    this.suspected$.next({ fingerprint, incarnations });
+  }
+
+  #addReports(news: CrashNews): CrashReport[] {
+    const now = monotonicMilliseconds();
+    const newReports = news.reports.map(decodeCrashReport)
+      .filter((report) => this.#ledger.report(report, now));
+    if (newReports.length > 0) this.#scheduleDecision();
+    return newReports;
+  }
+
+  /** Adds blames and clears others; returns the blames that were new. */
+  #addBlames({ blamed, cleared }: CrashNews): Blame[] {
+    const now = monotonicMilliseconds();
+    const newBlames = blamed
+      .map((request) => decodeBlame(request, now))
+      .filter((blame) => this.#ledger.learn(blame));
+    if (newBlames.length > 0) this.#publishBlames(newBlames, "told");
+    this.#clear(cleared);
+    return newBlames;
+  }
+
+  #clear(fingerprints: string[]): void {
+    const recorded = new Set([
+      ...this.#ledger.blames().map(({ fingerprint }) => fingerprint),
+      ...this.#persisted,
+    ]);
+    const committed = fingerprints
+      .filter((fingerprint) => recorded.has(fingerprint));
+    for (const fingerprint of committed) this.#persisted.delete(fingerprint);
+    const cleared = fingerprints
+      .filter((fingerprint) => this.#ledger.clear(fingerprint));
+    if (cleared.length === 0) return;
+    this.blameNews$.next(create(CrashNewsSchema, { cleared }));
+    for (const fingerprint of committed) this.cleared$.next(fingerprint);
+  }
+
+  #scheduleDecision(): void {
+    this.#decideTimer ??= setTimeout(() => {
+      this.#decideTimer = undefined;
+      const blames = this.#ledger.decide(monotonicMilliseconds());
+      if (blames.length > 0) this.#publishBlames(blames, "decided");
+      for (const blame of blames) this.blamed$.next(blame);
+      if (this.#ledger.isUndecided) this.#scheduleDecision();
+    }, SETTLE_MILLISECONDS);
+  }
+
+  #publishBlames(blames: Blame[], how: "decided" | "told" | "kept"): void {
+    const now = monotonicMilliseconds();
+    for (const blame of blames) {
+      const fields = { ...blameFields(blame, now), how };
+      this.#options.log.warn("request-blamed", fields);
+    }
+    this.blameNews$.next(this.#encodeBlames(blames));
+  }
+
+  #queueReports(newReports: CrashReport[]): void {
+    if (newReports.length === 0) return;
+    this.#queuedReports.push(...newReports);
+    this.#reportTimer ??= setTimeout(() => {
+      this.#reportTimer = undefined;
+      const now = monotonicMilliseconds();
+      const allowed = this.#reportBudget.take(this.#queuedReports.length, now);
+      const reports = this.#queuedReports.slice(0, allowed);
+      this.#queuedReports = [];
+      if (reports.length === 0) return;
+      this.localReports$.next(
+        create(CrashNewsSchema, { reports: reports.map(encodeCrashReport) }),
+      );
+    }, REPORT_BATCH_MILLISECONDS);
+  }
+
+  #encodeBlames(blames: Blame[]): CrashNews {
+    const now = monotonicMilliseconds();
+    return create(CrashNewsSchema, {
+      blamed: blames.map((blame) => encodeBlame(blame, now)),
+    });
+  }
+}
--- a/packages/daemon/src/control/entry_session.ts
+++ b/packages/daemon/src/control/entry_session.ts
@@ -17,8 +17,8 @@
 import type { ProposalOutcome } from "./proposal_outcome.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-const WATCH_MILLISECONDS = 1_000;
-const SILENT_MILLISECONDS = 5_000;
+const SILENCE_CHECK_MILLISECONDS = 1_000;
+const SILENCE_TIMEOUT_MILLISECONDS = 5_000;
 
 type Options = {
   control: ControlHost;
@@ -26,26 +26,29 @@
   leaderAddress: () => string;
 };
 
-/** Commands whose sender waits until they are in force everywhere. */
+/**
+ * Whether the sender of a command waits until every entry host with a lease has
+ * applied it.
+ */
 function waitsUntilInForce(command: Command): boolean {
   return command.kind === "change-contract" ||
     command.kind === "publish-weights" || command.kind === "drain-backend";
 }
 
-/** The control side of one entry host's stream. */
+/** The control host's side of one entry host's stream. */
 export class EntrySession {
   readonly outgoing$ = new Subject<ControlToEntry>();
   #options: Options;
   #host = "";
-  #heardAt = monotonicMilliseconds();
+  #receivedAt = monotonicMilliseconds();
   #subscriptions = new Subscription();
 
   constructor(options: Options) {
     this.#options = options;
   }
 
-  take(message: EntryToControl): void {
-    this.#heardAt = monotonicMilliseconds();
+  handleMessage(message: EntryToControl): void {
+    this.#receivedAt = monotonicMilliseconds();
     this.#options.ring.observe(Date.now(), {
       time: message.clockTime,
       counter: message.clockCounter,
@@ -54,12 +57,12 @@
     switch (body.case) {
       case "hello":
         this.#host = body.value.host;
-        this.#follow(body.value.cursor);
+        this.#startFollowing(body.value.cursor);
         return;
       case "report":
-        return this.#takeReport(body.value);
+        return this.#handleReport(body.value);
       case "proposal":
-        this.#takeProposal(body.value);
+        this.#handleProposal(body.value);
         return;
     }
   }
@@ -69,19 +72,21 @@
     this.outgoing$.complete();
   }
 
-  #follow(cursor: number): void {
+  #startFollowing(cursor: number): void {
     const { control } = this.#options;
-    const earlier = control.followedAfter(cursor);
+    const earlier = control.commandsAfter(cursor);
     if (earlier === undefined) this.#sendState();
     else for (const followed of earlier) this.#sendCommand(followed);
     this.#subscriptions.add(
-      control.followed$.subscribe((followed) => this.#sendCommand(followed)),
+      control.commands$.subscribe((followed) => this.#sendCommand(followed)),
     );
     this.#subscriptions.add(
-      control.replaced$.subscribe(() => this.#sendState()),
+      control.stateReplaced$.subscribe(() => this.#sendState()),
     );
     this.#subscriptions.add(
-      interval(WATCH_MILLISECONDS).subscribe(() => this.#watch()),
+      interval(SILENCE_CHECK_MILLISECONDS).subscribe(() =>
+        this.#closeIfSilent()
+      ),
     );
     this.#subscriptions.add(
       control.leadership$.subscribe(() => this.#sendStatus(0)),
@@ -89,17 +94,21 @@
     this.#sendStatus(0);
   }
 
-  /** An entry host that was cut off would be kept for, and sent to, forever. */
-  #watch(): void {
-    const silent =
-      monotonicMilliseconds() - this.#heardAt > SILENT_MILLISECONDS;
-    if (silent) this.close();
+  /**
+   * Closes the session of an entry host that sent nothing for 5 s. Without
+   * this, the session of a disconnected host would be kept, and written to,
+   * forever.
+   */
+  #closeIfSilent(): void {
+    const isSilent =
+      monotonicMilliseconds() - this.#receivedAt > SILENCE_TIMEOUT_MILLISECONDS;
+    if (isSilent) this.close();
   }
 
-  #takeReport(report: EntryReport): void {
+  #handleReport(report: EntryReport): void {
     const { control } = this.#options;
     const now = monotonicMilliseconds();
-    const allotter = control.allotter(now);
+    const allotter = control.getAllotter(now);
     if (allotter === undefined) return this.#sendStatus(0);
     const allotment = allotter.takeReport(control.state, {
       host: this.#host,
@@ -122,7 +131,7 @@
     });
   }
 
-  async #takeProposal(proposal: Proposal): Promise<void> {
+  async #handleProposal(proposal: Proposal): Promise<void> {
     const { control } = this.#options;
     const { number, command } = proposal;
     if (command.length === 0) {
@@ -180,7 +189,7 @@
       value: {
         leading: control.isLeading(monotonicMilliseconds()),
         leaderAddress: leaderAddress(),
-        // Everything followed up to here has been sent before this.
+        // All followed commands up to this index were sent before this status.
         commitIndex: control.state.appliedIndex,
         term: control.node.term,
         memberId: control.node.id,
--- a/packages/daemon/src/control/follow_session.ts
+++ b/packages/daemon/src/control/follow_session.ts
@@ -15,36 +15,39 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { SharedView } from "./shared_view.ts";
 
-/** A third of what a follower bears in silence. */
+/** A third of the 1,200 ms of silence after which a follower reconnects. */
 const HEARTBEAT_MILLISECONDS = 400;
-/** A follower that was cut off would be kept for, and sent to, for ever. */
-const SILENT_MILLISECONDS = 5_000;
+/**
+ * A follower silent for longer is dropped. Without this, the session of a
+ * disconnected follower would be kept, and written to, forever.
+ */
+const SILENCE_MILLISECONDS = 5_000;
 
-/** The control side of one follower's stream. */
+/** The control host's side of one follower's stream. */
 export class FollowSession {
   readonly outgoing$ = new Subject<ControlUpdate>();
   #view: SharedView;
-  #heardAt = monotonicMilliseconds();
-  #toldRouting = -1;
-  #toldWeights = new Map<string, number>();
+  #receivedAt = monotonicMilliseconds();
+  #sentRoutingVersion = -1;
+  #sentWeightVersions = new Map<string, number>();
   #subscriptions = new Subscription();
   #wantsLoads = false;
-  #saidAt = monotonicMilliseconds();
+  #sentAt = monotonicMilliseconds();
 
   constructor(view: SharedView) {
     this.#view = view;
   }
 
-  take(message: FollowerToControl): void {
-    this.#heardAt = monotonicMilliseconds();
+  handleMessage(message: FollowerToControl): void {
+    this.#receivedAt = monotonicMilliseconds();
     if (message.body.case === "hello") {
-      this.#begin(message.body.value);
+      this.#start(message.body.value);
     }
     if (message.body.case === "crashes") {
-      this.#view.crashes.hear(message.body.value);
+      this.#view.crashes.addLocalNews(message.body.value);
     }
     if (message.body.case === "limits") {
-      this.#view.limits.hear(message.body.value);
+      this.#view.limits.addLocalNews(message.body.value);
     }
     if (message.body.case === "heartbeat") {
       this.#wantsLoads = message.body.value.wantsLoads;
@@ -56,22 +59,22 @@
     this.outgoing$.complete();
   }
 
-  #begin({ isControl, host }: FollowerHello): void {
+  #start({ isControl, host }: FollowerHello): void {
     const view = this.#view;
-    this.#sayAlive();
-    this.#tellHosts();
-    this.#tellLog();
-    this.#tellBackends(true, view.allBackends());
-    this.#tellEngines(view.engineNotices());
-    const backends$ = isControl ? view.heardHere$ : view.changed$;
+    this.#sendHeartbeat();
+    this.#sendControlHosts();
+    this.#sendChangedState();
+    this.#sendBackends(true, view.allBackends());
+    this.#sendEngines(view.engineNotices());
+    const backends$ = isControl ? view.localBackends$ : view.changed$;
     this.#subscriptions.add(
-      backends$.subscribe((backends) => this.#tellBackends(false, backends)),
+      backends$.subscribe((backends) => this.#sendBackends(false, backends)),
     );
     this.#subscriptions.add(
-      view.engines$.subscribe((notices) => this.#tellEngines(notices)),
+      view.engines$.subscribe((notices) => this.#sendEngines(notices)),
     );
     const loads$ = isControl
-      ? view.loadsHere$
+      ? view.localLoads$
       : view.loads$.pipe(filter(() => this.#wantsLoads));
     this.#subscriptions.add(
       loads$.subscribe((loads) =>
@@ -80,87 +83,100 @@
     );
     this.#followCrashes(isControl);
     this.#followLimits(isControl, host);
-    this.#subscriptions.add(view.log$.subscribe(() => this.#tellLog()));
-    this.#subscriptions.add(view.hosts$.subscribe(() => this.#tellHosts()));
-    this.#subscriptions.add(view.look$.subscribe(() => this.#beat()));
+    this.#subscriptions.add(
+      view.stateChanged$.subscribe(() => this.#sendChangedState()),
+    );
+    this.#subscriptions.add(
+      view.controlHostsChanged$.subscribe(() => this.#sendControlHosts()),
+    );
+    this.#subscriptions.add(
+      view.heartbeatCheck$.subscribe(() => this.#checkHeartbeat()),
+    );
   }
 
   #followCrashes(isControl: boolean): void {
     const { crashes } = this.#view;
-    const standing = crashes.standing();
-    if (standing !== undefined) this.#tellCrashes(standing);
+    const blames = crashes.currentBlames();
+    if (blames !== undefined) this.#sendCrashes(blames);
     const news$ = isControl
-      ? merge(crashes.verdicts$, crashes.heardHere$)
-      : crashes.verdicts$;
+      ? merge(crashes.blameNews$, crashes.localReports$)
+      : crashes.blameNews$;
     this.#subscriptions.add(
-      news$.subscribe((news) => this.#tellCrashes(news)),
+      news$.subscribe((news) => this.#sendCrashes(news)),
     );
   }
 
   #followLimits(isControl: boolean, host: string): void {
     const { limits } = this.#view;
-    const tell = (news: LimitNews | undefined) => {
+    const send = (news: LimitNews | undefined) => {
       if (news !== undefined) this.#send({ case: "limits", value: news });
     };
-    const due = limits.openDue();
-    tell(isControl ? limits.standing() : limits.partsOf(host, due));
+    const selector = limits.createUpdateSelector();
+    send(
+      isControl ? limits.currentDemands() : limits.selectParts(host, selector),
+    );
     this.#subscriptions.add(
       isControl
-        ? limits.heardHere$.subscribe(tell)
-        : limits.changed$.subscribe(() => tell(limits.partsOf(host, due))),
+        ? limits.localDemands$.subscribe(send)
+        : limits.changed$.subscribe(() =>
+          send(limits.selectParts(host, selector))
+        ),
     );
   }
 
-  /** Whatever else is said shows as well that this host is there. */
-  #beat(): void {
+  /**
+   * Closes the session of a silent follower, or sends a heartbeat if one is
+   * due. Any other message to the follower counts as a heartbeat.
+   */
+  #checkHeartbeat(): void {
     const now = monotonicMilliseconds();
-    if (now - this.#heardAt > SILENT_MILLISECONDS) return this.close();
-    if (now - this.#saidAt >= HEARTBEAT_MILLISECONDS) this.#sayAlive();
+    if (now - this.#receivedAt > SILENCE_MILLISECONDS) return this.close();
+    if (now - this.#sentAt >= HEARTBEAT_MILLISECONDS) this.#sendHeartbeat();
   }
 
-  #sayAlive(): void {
+  #sendHeartbeat(): void {
     const { dataCentre } = this.#view;
     this.#send({ case: "heartbeat", value: { dataCentre } });
   }
 
-  #tellHosts(): void {
+  #sendControlHosts(): void {
     const addresses = this.#view.controlAddresses();
     this.#send({ case: "controlHosts", value: { addresses } });
   }
 
-  /** Only what is newer than what this follower was told. */
-  #tellLog(): void {
+  /** Sends routing and weights newer than those sent to this follower. */
+  #sendChangedState(): void {
     if (!this.#view.isCurrent) return;
-    const { routing, namedWeights } = this.#view.logState();
-    if (routing !== undefined && routing.version > this.#toldRouting) {
-      this.#toldRouting = routing.version;
+    const { routing, namedWeights } = this.#view.replicatedState();
+    if (routing !== undefined && routing.version > this.#sentRoutingVersion) {
+      this.#sentRoutingVersion = routing.version;
       const document = new TextEncoder().encode(routing.document);
       const { version } = routing;
       this.#send({ case: "routing", value: { version, document } });
     }
     for (const { model, version } of namedWeights.values()) {
-      if ((this.#toldWeights.get(model) ?? 0) >= version) continue;
-      this.#toldWeights.set(model, version);
+      if ((this.#sentWeightVersions.get(model) ?? 0) >= version) continue;
+      this.#sentWeightVersions.set(model, version);
       const ageMilliseconds = this.#view.ageOfWeights(model, version);
       const value = { model, version, ageMilliseconds };
       this.#send({ case: "weights", value });
     }
   }
 
-  #tellEngines(notices: EngineNotice[]): void {
+  #sendEngines(notices: EngineNotice[]): void {
     this.#send({ case: "engines", value: { notices } });
   }
 
-  #tellCrashes(news: CrashNews): void {
+  #sendCrashes(news: CrashNews): void {
     this.#send({ case: "crashes", value: news });
   }
 
-  #tellBackends(whole: boolean, backends: Backend[]): void {
+  #sendBackends(whole: boolean, backends: Backend[]): void {
     this.#send({ case: "backends", value: { whole, backends } });
   }
 
   #send(body: MessageInitShape<typeof ControlUpdateSchema>["body"]): void {
-    this.#saidAt = monotonicMilliseconds();
+    this.#sentAt = monotonicMilliseconds();
     this.outgoing$.next(create(ControlUpdateSchema, { body }));
   }
 }
--- a/packages/daemon/src/control/in_force_waiters.ts
+++ b/packages/daemon/src/control/in_force_waiters.ts
@@ -1,36 +1,42 @@
 type InForce = { inForce: boolean; hostsWithoutLease: string[] };
 
-type Waiting = { index: number; settle: (result: InForce) => void };
+type InForceWaiter = { index: number; settle: (result: InForce) => void };
 
-/** Operators' changes that wait until every live entry host applied them. */
+/** Changes whose sender waits until every live entry host has applied them. */
 export class InForceWaiters {
-  #waiting = new Set<Waiting>();
+  #waiters = new Set<InForceWaiter>();
 
+  /** Resolves with `inForce: false` after `milliseconds`. */
   wait(index: number, milliseconds: number): Promise<InForce> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
-        this.#waiting.delete(waiting);
+        this.#waiters.delete(waiter);
         resolve({ inForce: false, hostsWithoutLease: [] });
       }, milliseconds);
-      const waiting: Waiting = {
+      const waiter: InForceWaiter = {
         index,
         settle: (result) => {
           clearTimeout(timer);
-          this.#waiting.delete(waiting);
+          this.#waiters.delete(waiter);
           resolve(result);
         },
       };
-      this.#waiting.add(waiting);
+      this.#waiters.add(waiter);
     });
   }
 
-  /** `live` maps each host with a live lease to the index it applied. */
-  check(live: Map<string, number>, away: string[]): void {
-    if (this.#waiting.size === 0) return;
-    const slowest = Math.min(...live.values());
-    for (const waiting of [...this.#waiting]) {
-      if (slowest >= waiting.index) {
-        waiting.settle({ inForce: true, hostsWithoutLease: away });
+  /**
+   * Resolves the waiters whose index every live host has applied.
+   *
+   * @param appliedIndexes log index applied by each host with a live lease
+   * @param unleased hosts without a lease, which the result names
+   */
+  settleApplied(appliedIndexes: Map<string, number>, unleased: string[]): void {
+    if (this.#waiters.size === 0) return;
+    const lowestApplied = Math.min(...appliedIndexes.values());
+    for (const waiter of [...this.#waiters]) {
+      if (lowestApplied >= waiter.index) {
+        waiter.settle({ inForce: true, hostsWithoutLease: unleased });
       }
     }
   }
--- a/packages/daemon/src/control/join_cluster.ts
+++ b/packages/daemon/src/control/join_cluster.ts
@@ -4,48 +4,53 @@
 import type { ClientPool } from "../transport/client_pool.ts";
 import { pause } from "../transport/pause.ts";
 
-const ASK_MILLISECONDS = 500;
-const CALL_MILLISECONDS = 1_000;
+const RETRY_MILLISECONDS = 500;
+const CALL_TIMEOUT_MILLISECONDS = 1_000;
 
 type Options = {
   self: Member;
   clients: ClientPool;
   log: EventLog;
-  /** Control hosts known now; whichever leads takes this one in. */
+  /** Control hosts known now; the leader among them adds this one. */
   addresses: () => string[];
-  /** Whether this host hears a leader, and so is a member. */
-  isHeard: () => boolean;
+  /** Whether this host has a leader, and so is a member. */
+  hasLeader: () => boolean;
   isStopped: () => boolean;
-  learnMembers: (membership: Membership) => void;
+  onMembership: (membership: Membership) => void;
 };
 
 /**
- * Asks to be taken in for as long as no leader is heard: as a host with an
- * empty disk, and as one that was replaced while it was away, which otherwise
- * would never hear of it.
+ * Asks the known control hosts for membership every 500 ms while this host has
+ * no leader. This applies to a host with an empty disk, and to one that was
+ * replaced while it was offline and would otherwise never learn of that.
  */
 export async function joinCluster(options: Options): Promise<void> {
-  const { addresses, isHeard, isStopped, log, self } = options;
-  let told = false;
+  const { addresses, hasLeader, isStopped, log, self } = options;
+  let isLogged = false;
   while (!isStopped()) {
-    await pause(ASK_MILLISECONDS);
-    if (isHeard()) {
-      told = false;
+    await pause(RETRY_MILLISECONDS);
+    if (hasLeader()) {
+      isLogged = false;
       continue;
     }
-    if (!told) log.warn("asks-to-be-taken-in", { member: self.id });
-    told = true;
+    if (!isLogged) log.warn("asks-to-be-taken-in", { member: self.id });
+    isLogged = true;
     const others = addresses().filter((address) => address !== self.address);
-    await Promise.all(others.map((address) => ask(options, address)));
+    await Promise.all(
+      others.map((address) => requestMembership(options, address)),
+    );
   }
 }
 
-async function ask(options: Options, address: string): Promise<void> {
-  const { clients, learnMembers, log, self } = options;
+async function requestMembership(
+  options: Options,
+  address: string,
+): Promise<void> {
+  const { clients, onMembership, log, self } = options;
   try {
     const answer = await clients.client(PeerService, address)
-      .introduce({ member: self }, { timeoutMs: CALL_MILLISECONDS });
-    if (answer.founded !== undefined) learnMembers(answer.founded);
+      .introduce({ member: self }, { timeoutMs: CALL_TIMEOUT_MILLISECONDS });
+    if (answer.founded !== undefined) onMembership(answer.founded);
   } catch (error) {
     clients.renew(address);
     log.debug("introduction-failed", { address, reason: String(error) });
--- a/packages/daemon/src/control/latest_gatherer.ts
+++ b/packages/daemon/src/control/latest_value_batcher.ts
@@ -1,14 +1,14 @@
 import { Subject } from "rxjs";
 
 type Options<Value> = {
-  /** How long values are gathered from the first one on. */
+  /** Length of a batch, from its first value on. */
   milliseconds: number;
   keyOf: (value: Value) => string;
 };
 
-/** Gathers values for a moment and tells the latest of each key together. */
-export class LatestGatherer<Value> {
-  readonly gathered$ = new Subject<Value[]>();
+/** Collects values and emits the latest one of each key in one batch. */
+export class LatestValueBatcher<Value> {
+  readonly batches$ = new Subject<Value[]>();
   #options: Options<Value>;
   #latest = new Map<string, Value>();
   #timer: NodeJS.Timeout | undefined;
@@ -20,17 +20,17 @@
   add(value: Value): void {
     const { keyOf, milliseconds } = this.#options;
     this.#latest.set(keyOf(value), value);
-    this.#timer ??= setTimeout(() => this.#tell(), milliseconds);
+    this.#timer ??= setTimeout(() => this.#publish(), milliseconds);
   }
 
   stop(): void {
     clearTimeout(this.#timer);
   }
 
-  #tell(): void {
+  #publish(): void {
     this.#timer = undefined;
-    const gathered = [...this.#latest.values()];
+    const batch = [...this.#latest.values()];
     this.#latest.clear();
-    this.gathered$.next(gathered);
+    this.batches$.next(batch);
   }
 }
--- a/packages/daemon/src/control/limit_divider.ts
+++ b/packages/daemon/src/control/limit_divider.ts
@@ -10,55 +10,58 @@
 import { decodeLimit } from "../transport/decode_limit.ts";
 import { encodeLimit } from "../transport/encode_limit.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
-import { LatestGatherer } from "./latest_gatherer.ts";
+import { LatestValueBatcher } from "./latest_value_batcher.ts";
 
-const GATHER_HEARD_MILLISECONDS = 50;
-/** A fraction of the time in which hosts that are told let a part grow. */
-const GATHER_PARTS_MILLISECONDS = 150;
-/** Half of what a host bears without news. */
-const REST_MILLISECONDS = 1_000;
-/** Told to each follower: 3 KB. */
-const MOST_PARTS_PER_SECOND = 55;
-const EXPIRE_MILLISECONDS = 10_000;
+const DEMAND_BATCH_MILLISECONDS = 50;
+/** A fraction of the 1 s after which a host uses a larger part. */
+const CHANGE_BATCH_MILLISECONDS = 150;
+/** Half of the 2 s without an update after which a host's part is stale. */
+const REFRESH_MILLISECONDS = 1_000;
+/** Bounds the updates to each follower to 3 KB/s. */
+const MAX_PARTS_PER_SECOND = 55;
+const EXPIRE_INTERVAL_MILLISECONDS = 10_000;
 
-/** A control host's part in dividing what backend servers in need take. */
+/**
+ * Divides the limits that overloaded backend servers named among the gateways
+ * that send to them, by how much each gateway wants to send.
+ */
 export class LimitDivider {
-  /** What gateways told this very host, for other control hosts. */
-  readonly heardHere$ = new Subject<LimitNews>();
-  /** The parts may have changed; every follower is told its own. */
+  /** Demands that gateways sent to this host, for other control hosts. */
+  readonly localDemands$ = new Subject<LimitNews>();
+  /** Emits when parts may have changed; each follower is then sent its own. */
   readonly changed$ = new Subject<void>();
   #division = new LimitDivision();
-  #heardSoon = new LatestGatherer<LimitDemand>({
-    milliseconds: GATHER_HEARD_MILLISECONDS,
+  #demandBatcher = new LatestValueBatcher<LimitDemand>({
+    milliseconds: DEMAND_BATCH_MILLISECONDS,
     keyOf: ({ incarnation, host }) => `${incarnation} ${host}`,
   });
   #changeTimer: NodeJS.Timeout | undefined;
   #expireTimer: NodeJS.Timeout;
 
   constructor() {
-    this.#heardSoon.gathered$.subscribe((demands) =>
-      this.heardHere$.next(create(LimitNewsSchema, { demands }))
+    this.#demandBatcher.batches$.subscribe((demands) =>
+      this.localDemands$.next(create(LimitNewsSchema, { demands }))
     );
     this.#expireTimer = setInterval(
       () => this.#division.expire(monotonicMilliseconds()),
-      EXPIRE_MILLISECONDS,
+      EXPIRE_INTERVAL_MILLISECONDS,
     );
   }
 
   stop(): void {
-    this.#heardSoon.stop();
+    this.#demandBatcher.stop();
     clearTimeout(this.#changeTimer);
     clearInterval(this.#expireTimer);
   }
 
-  /** What a gateway says. */
-  hear(news: LimitNews): void {
-    this.learn(news);
-    for (const demand of news.demands) this.#heardSoon.add(demand);
+  /** Adds demands of a gateway that follows this host. */
+  addLocalNews(news: LimitNews): void {
+    this.addRemoteNews(news);
+    for (const demand of news.demands) this.#demandBatcher.add(demand);
   }
 
-  /** What another control host says. */
-  learn({ demands }: LimitNews): void {
+  /** Adds demands that another control host received. */
+  addRemoteNews({ demands }: LimitNews): void {
     const now = monotonicMilliseconds();
     for (const demand of demands) {
       this.#division.name(decodeLimit(demand, now), now);
@@ -69,11 +72,11 @@
     this.#changeTimer ??= setTimeout(() => {
       this.#changeTimer = undefined;
       this.changed$.next();
-    }, GATHER_PARTS_MILLISECONDS);
+    }, CHANGE_BATCH_MILLISECONDS);
   }
 
-  /** One follower's parts that are to be told now; undefined for none. */
-  partsOf(host: string, due: DueNews): LimitNews | undefined {
+  /** Selects a follower's parts to send now; undefined if there are none. */
+  selectParts(host: string, selector: DueNews): LimitNews | undefined {
     if (this.#division.isEmpty) return undefined;
     const now = monotonicMilliseconds();
     const all = this.#division.partsOf(host, now).map(({ limit, part }) => ({
@@ -81,21 +84,21 @@
       value: part,
       limit,
     }));
-    const parts = due.select(all, now)
+    const parts = selector.select(all, now)
       .map(({ limit, value }) => ({ ...encodeLimit(limit, now), part: value }));
     return parts.length === 0 ? undefined : create(LimitNewsSchema, { parts });
   }
 
-  /** What one follower was told; it begins with nothing. */
-  openDue(): DueNews {
+  /** Tracks what one follower was sent; initially nothing. */
+  createUpdateSelector(): DueNews {
     return new DueNews({
-      restMilliseconds: REST_MILLISECONDS,
-      mostPerSecond: MOST_PARTS_PER_SECOND,
+      restMilliseconds: REFRESH_MILLISECONDS,
+      mostPerSecond: MAX_PARTS_PER_SECOND,
     });
   }
 
-  /** All that is known, for another control host that has just come. */
-  standing(): LimitNews | undefined {
+  /** All known demands, for a newly connected control host. */
+  currentDemands(): LimitNews | undefined {
     if (this.#division.isEmpty) return undefined;
     const now = monotonicMilliseconds();
     const demands = this.#division.all(now)
--- a/packages/daemon/src/control/membership_keeper.ts
+++ b/packages/daemon/src/control/membership_manager.ts
@@ -8,33 +8,36 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { ControlHost } from "./control_host.ts";
 
-const STEP_MILLISECONDS = 100;
+const STEP_INTERVAL_MILLISECONDS = 100;
 
 type Options = { control: ControlHost; wantedVoters: number; log: EventLog };
 
-/** Changes the members without an operator, while this host leads. */
-export class MembershipKeeper {
+/** Changes the membership automatically while this host leads. */
+export class MembershipManager {
   #options: Options;
-  /** Hosts that asked to be taken in, by address: each has one identity. */
+  /** Hosts that asked to join, by address: each has one id, the latest. */
   #candidates = new Map<string, { member: Member; askedAt: number }>();
   #timer: NodeJS.Timeout;
 
   constructor(options: Options) {
     this.#options = options;
-    this.#timer = setInterval(() => this.#step(), STEP_MILLISECONDS);
+    this.#timer = setInterval(
+      () => this.#proposeNextChange(),
+      STEP_INTERVAL_MILLISECONDS,
+    );
   }
 
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** A host that is no member, or hears no leader, asks to be taken in. */
-  takeCandidate(member: Member): void {
+  /** Called when a host that is no member, or has no leader, asks to join. */
+  addCandidate(member: Member): void {
     const askedAt = monotonicMilliseconds();
     this.#candidates.set(member.address, { member, askedAt });
   }
 
-  #step(): void {
+  #proposeNextChange(): void {
     const { control, wantedVoters, log } = this.#options;
     const { node } = control;
     const now = monotonicMilliseconds();
--- a/packages/daemon/src/control/peer_links.ts
+++ b/packages/daemon/src/control/peer_links.ts
@@ -6,23 +6,26 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
 const RECONNECT_MILLISECONDS = 100;
-const UNANSWERED_MILLISECONDS = 500;
+const ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS = 500;
 
 type Link = {
   outgoing: Subject<PeerMessage>;
   stop: AbortController;
-  /** Since when something sent has not been acknowledged; 0 for nothing. */
+  /**
+   * When the first message since the last acknowledgement was sent; 0 if none
+   * was sent since.
+   */
   unansweredSince: number;
 };
 
 /**
- * Carries consensus messages to the other members, one stream each. What
- * can't be sent is dropped: consensus asks again by itself.
+ * Sends Raft messages to the other members, over one stream each. Messages that
+ * can't be sent are dropped, because Raft retries by itself.
  */
 export class PeerLinks {
   #clients: ClientPool;
   #links = new Map<string, Link>();
-  #failed = new Map<string, number>();
+  #failedAt = new Map<string, number>();
 
   constructor(clients: ClientPool) {
     this.#clients = clients;
@@ -30,7 +33,7 @@
 
   send(address: string, message: PeerMessage): void {
     const now = monotonicMilliseconds();
-    const link = this.#working(address, now);
+    const link = this.#usableLink(address, now);
     if (link === undefined) return;
     if (link.unansweredSince === 0) link.unansweredSince = now;
     link.outgoing.next(message);
@@ -41,18 +44,18 @@
   }
 
   /**
-   * The link, or a new one. A stream whose other end is gone can stay open
-   * for good and swallow what it is given: when a member restarts, the
-   * others' answers to it went into such a stream, and it led no more for
-   * four seconds. So one that does not answer is left for a new one.
+   * Returns the link to a member, or a new one if it has not acknowledged
+   * anything for 500 ms. A stream whose other end is gone can stay open and
+   * drop what is written to it: when a member restarted, the others' responses
+   * went into such a stream, and the member did not lead for 4 s.
    */
-  #working(address: string, now: number): Link | undefined {
+  #usableLink(address: string, now: number): Link | undefined {
     const link = this.#links.get(address);
     if (link === undefined) return this.#open(address, now);
     const { unansweredSince } = link;
-    const silent = unansweredSince > 0 &&
-      now - unansweredSince > UNANSWERED_MILLISECONDS;
-    if (!silent) return link;
+    const isSilent = unansweredSince > 0 &&
+      now - unansweredSince > ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS;
+    if (!isSilent) return link;
     this.#clients.renew(address);
     this.#links.delete(address);
     link.stop.abort();
@@ -60,7 +63,7 @@
   }
 
   #open(address: string, now: number): Link | undefined {
-    const failedAt = this.#failed.get(address) ?? -Infinity;
+    const failedAt = this.#failedAt.get(address) ?? -Infinity;
     if (now - failedAt < RECONNECT_MILLISECONDS) return undefined;
     const link: Link = {
       outgoing: new Subject(),
@@ -85,7 +88,7 @@
     }
     link.outgoing.complete();
     if (this.#links.get(address) !== link) return;
-    this.#failed.set(address, monotonicMilliseconds());
+    this.#failedAt.set(address, monotonicMilliseconds());
     this.#links.delete(address);
   }
 }
--- a/packages/daemon/src/control/platform_desk.ts
+++ b/packages/daemon/src/control/platform_services.ts
@@ -13,17 +13,17 @@
 import { FollowSet } from "../transport/follow_set.ts";
 import { ManifestKeeper } from "../rollout/manifest_keeper.ts";
 import { RolloutHub } from "../rollout/rollout_hub.ts";
-import { ControlGate } from "./control_gate.ts";
+import { ControlOperationsHandler } from "./control_operations_handler.ts";
 import type { ControlHost } from "./control_host.ts";
 import { followRoutes } from "./follow_routes.ts";
 import { SharedView } from "./shared_view.ts";
 
-const REVIEW_MILLISECONDS = 100;
-/** Control hosts all hear each other: there are at most so many. */
-const MOST_CONTROL_HOSTS = 10;
+const CHECK_INTERVAL_MILLISECONDS = 100;
+/** Control hosts all follow each other, so there are at most this many. */
+const MAX_CONTROL_HOSTS = 10;
 
-/** Of one suspicion, in the tables. */
-const MOST_INCARNATIONS = 8;
+/** Incarnations stored for one suspicion in the replicated state. */
+const MAX_INCARNATIONS = 8;
 
 type Options = {
   settings: Settings;
@@ -32,21 +32,24 @@
   platform: PlatformEdge;
   started$: Observable<ControlHost>;
   control: () => ControlHost | undefined;
-  logState: () => ControlState;
+  replicatedState: () => ControlState;
   controlAddresses: () => string[];
 };
 
-/** What a control host does for a platform besides keeping the log. */
-export class PlatformDesk {
+/**
+ * Services of a control host besides the replicated log: the operations API,
+ * updates to followers and the rollout of weights.
+ */
+export class PlatformServices {
   readonly view: SharedView;
   #options: Options;
-  #gate: ControlGate;
-  #others: FollowSet;
+  #operations: ControlOperationsHandler;
+  #otherControlHosts: FollowSet;
   #manifests: ManifestKeeper;
   #rollout: RolloutHub;
   #server: Closable | undefined;
   #isCurrent = false;
-  #toldAddresses = "";
+  #publishedAddresses = "";
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
@@ -58,7 +61,7 @@
       dataCentre: settings.data_centre,
       isCurrent: () => this.#isCurrent,
     });
-    this.#gate = new ControlGate({
+    this.#operations = new ControlOperationsHandler({
       control,
       leaderAddress: () => control()?.leaderAddress ?? "",
       selfAddress,
@@ -71,7 +74,7 @@
       store: platform.weightStore,
       log,
       namedVersion: (model) =>
-        options.logState().namedWeights.get(model)?.version,
+        options.replicatedState().namedWeights.get(model)?.version,
     });
     this.#rollout = new RolloutHub({
       host: settings.name,
@@ -80,11 +83,11 @@
       manifests: this.#manifests,
       log,
       controlAddresses: options.controlAddresses,
-      notice: (notice) => this.view.notice(notice),
-      noteLoad: (load) => this.view.noteLoad(load),
+      notice: (notice) => this.view.addEngineNotice(notice),
+      noteLoad: (load) => this.view.addLocalLoad(load),
       namedAges: (model) => this.view.namedAges(model),
     });
-    this.#others = new FollowSet({
+    this.#otherControlHosts = new FollowSet({
       hello: {
         host: settings.name,
         dataCentre: settings.data_centre,
@@ -92,45 +95,49 @@
       },
       selfAddress,
       seeds: settings.control!.founders.map(({ address }) => address),
-      most: MOST_CONTROL_HOSTS,
+      most: MAX_CONTROL_HOSTS,
       clients,
       log,
     });
-    this.#others.updates$.subscribe(({ update }) => this.#learn(update));
-    this.view.crashes.found$.subscribe((blame) => this.#keepBlame(blame));
+    this.#otherControlHosts.updates$.subscribe(({ update }) =>
+      this.#handleUpdate(update)
+    );
+    this.view.crashes.blamed$.subscribe((blame) => this.#persistBlame(blame));
     this.view.crashes.suspected$.subscribe((suspicion) =>
-      this.#gate.keepSuspicion({
+      this.#operations.persistSuspicion({
         ...suspicion,
-        incarnations: suspicion.incarnations.slice(0, MOST_INCARNATIONS),
+        incarnations: suspicion.incarnations.slice(0, MAX_INCARNATIONS),
         at: Date.now(),
       })
     );
-    this.view.crashes.lifted$.subscribe((fingerprint) =>
-      this.#gate.liftBlame(fingerprint)
+    this.view.crashes.cleared$.subscribe((fingerprint) =>
+      this.#operations.removeBlame(fingerprint)
     );
     options.started$.subscribe((started) => {
-      started.routing$.subscribe(() => this.#takeRouting());
+      started.configurationChanged$.subscribe(() => this.#applyRouting());
     });
   }
 
   routes(router: ConnectRouter): void {
     const { log } = this.#options;
-    followRoutes({ view: this.view, gate: this.#gate, log })(router);
+    followRoutes({ view: this.view, operations: this.#operations, log })(
+      router,
+    );
     this.#rollout.routes(router);
   }
 
   async start(): Promise<Result<void, string>> {
     const { platform, settings } = this.#options;
     const { operations_listen } = settings.control!;
-    this.#others.start();
+    this.#otherControlHosts.start();
     this.#timer = setInterval(
-      () => this.#review(),
-      REVIEW_MILLISECONDS,
+      () => this.#checkState(),
+      CHECK_INTERVAL_MILLISECONDS,
     );
     if (operations_listen === undefined) return Result.ok(undefined);
     const server = await platform.serveOperations(
       operations_listen,
-      this.#gate,
+      this.#operations,
     );
     if (server.isErr) return Result.err(server.error);
     this.#server = server.value;
@@ -139,43 +146,50 @@
 
   stop(): void {
     clearInterval(this.#timer);
-    this.#others.stop();
+    this.#otherControlHosts.stop();
     this.view.stop();
     this.#manifests.stop();
     this.#rollout.stop();
     this.#server?.close();
   }
 
-  /** Told to gateways already; without a leader it goes with this process. */
-  async #keepBlame({ endsAt: _endsAt, ...blame }: Blame): Promise<void> {
-    const isKept = await this.#gate.keepBlame({ ...blame, at: Date.now() });
+  /**
+   * Commits a blame, which gateways have already been sent. If no leader
+   * commits it in time, it is lost when this process ends.
+   */
+  async #persistBlame({ endsAt: _endsAt, ...blame }: Blame): Promise<void> {
+    const isKept = await this.#operations.persistBlame({
+      ...blame,
+      at: Date.now(),
+    });
     const { fingerprint } = blame;
     this.#options.log.info("blame-kept", { fingerprint, kept: isKept });
   }
 
-  /** What backend servers and agents told another control host. */
-  #learn({ body }: ControlUpdate): void {
+  /** Takes over what another control host received from servers and agents. */
+  #handleUpdate({ body }: ControlUpdate): void {
     if (body.case === "backends") {
-      this.view.learn(body.value.backends.map(decodeBackend));
+      this.view.addRemoteStandings(body.value.backends.map(decodeBackend));
     }
-    if (body.case === "crashes") this.view.crashes.learn(body.value);
-    if (body.case === "limits") this.view.limits.learn(body.value);
-    if (body.case === "loads") this.view.learnLoads(body.value.loads);
+    if (body.case === "crashes") this.view.crashes.addRemoteNews(body.value);
+    if (body.case === "limits") this.view.limits.addRemoteNews(body.value);
+    if (body.case === "loads") this.view.addRemoteLoads(body.value.loads);
   }
 
   /**
-   * A host that starts again applies its log from the last snapshot on, and
-   * may lack what was accepted while it was away. Told on as it goes, that
-   * would show followers configurations long replaced: nothing is told until
-   * this host has the first entry of a leader of now.
+   * Publishes the replicated state once it is current. A restarted host applies
+   * its log from the last snapshot on, and may lack what was committed while it
+   * was offline. Publishing each step would send followers configurations that
+   * were replaced long ago, so nothing is published until this host has applied
+   * the first entry of the current leader.
    */
-  #takeRouting(): void {
-    const { control, logState, platform, log } = this.#options;
+  #applyRouting(): void {
+    const { control, replicatedState, platform, log } = this.#options;
     const isFirst = !this.#isCurrent;
     this.#isCurrent ||= control()?.isCaughtUp ?? false;
     if (!this.#isCurrent) return;
-    this.view.noteLog({ isFirst });
-    const { routing } = logState();
+    this.view.handleStateChange({ isFirst });
+    const { routing } = replicatedState();
     if (routing === undefined) return;
     const decoded = platform.decodeRouting(routing.document);
     if (decoded.isOk) return this.#manifests.review(decoded.value);
@@ -185,19 +199,19 @@
     });
   }
 
-  /** With nothing new to apply, being current shows at a look. */
-  #review(): void {
-    if (!this.#isCurrent) this.#takeRouting();
-    this.#noteHosts();
+  /** Polls whether the state is current, as there may be nothing to apply. */
+  #checkState(): void {
+    if (!this.#isCurrent) this.#applyRouting();
+    this.#publishControlHosts();
   }
 
-  /** Followers and other control hosts hear of new members. */
-  #noteHosts(): void {
+  /** Publishes the control hosts if they changed; also follows new ones. */
+  #publishControlHosts(): void {
     const addresses = this.#options.controlAddresses();
     const text = addresses.join(",");
-    if (text === this.#toldAddresses) return;
-    this.#toldAddresses = text;
-    this.#others.learn(addresses);
-    this.view.hosts$.next();
+    if (text === this.#publishedAddresses) return;
+    this.#publishedAddresses = text;
+    this.#otherControlHosts.learn(addresses);
+    this.view.controlHostsChanged$.next();
   }
 }
--- a/packages/daemon/src/control/proposal_outcome.ts
+++ b/packages/daemon/src/control/proposal_outcome.ts
@@ -1,6 +1,6 @@
 import type { ChangeAnswer } from "@teaselrouter/core/state/change_answer.ts";
 
-/** What became of a proposed command. */
+/** The outcome of a proposed command. */
 export type ProposalOutcome =
   | {
     kind: "committed";
--- a/packages/daemon/src/control/raft_driver.ts
+++ b/packages/daemon/src/control/raft_driver.ts
@@ -15,7 +15,7 @@
 import type { PeerLinks } from "./peer_links.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-const TICK_MILLISECONDS = 20;
+const TICK_INTERVAL_MILLISECONDS = 20;
 const FULL_DISK_RETRY_MILLISECONDS = 500;
 
 type Options = {
@@ -24,128 +24,132 @@
   links: PeerLinks;
   log: EventLog;
   snapshotBytes: number;
-  /** Members known before the log names any. */
+  /** Members known before the log contains any. */
   knownMembers: Member[];
-  /** The state machine's tables at the last entry handed out. */
+  /** Encodes the state machine after the last applied entry. */
   encodeState: () => { index: number; state: Uint8Array };
-  /** Called when nothing that follows could be trusted. */
+  /** Called on a failure after which this process can't continue safely. */
   stopProcess: (reason: string) => void;
 };
 
 /**
- * Runs a consensus member on this host: writes and syncs what it says, then
- * sends. What is proposed while a sync is under way shares the next one.
+ * Runs a Raft member on this host: writes and syncs its output to disk, then
+ * sends its messages. Proposals made during a sync share the next one.
  */
 export class RaftDriver {
   readonly committed$ = new Subject<LogEntry>();
-  readonly installed$ = new Subject<SnapshotData>();
-  /** Another member leads, or this one does or no longer does. */
+  readonly snapshotInstalled$ = new Subject<SnapshotData>();
+  /** Emits when the known leader, or whether this member leads, changes. */
   readonly leadership$ = new Subject<void>();
   #options: Options;
   #addresses = new Map<string, string>();
-  #running = false;
-  #flushPlanned = false;
-  #stopped = false;
-  #leadershipView = { leader: "", leads: false };
+  #isProcessing = false;
+  #isFlushScheduled = false;
+  #isStopped = false;
+  #lastLeadership = { leader: "", isLeading: false };
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
     this.#options = options;
-    this.learnMembers(options.knownMembers);
+    this.addKnownMembers(options.knownMembers);
   }
 
-  /** Members that this host can answer before the log names them. */
-  learnMembers(members: Member[]): void {
+  /** Adds members that this host can answer before the log contains them. */
+  addKnownMembers(members: Member[]): void {
     for (const { id, address } of members) this.#addresses.set(id, address);
   }
 
   start(): void {
     this.#timer = setInterval(() => {
       this.#options.node.tick(monotonicMilliseconds());
-      this.#pump();
-      this.#noteLeadership();
-    }, TICK_MILLISECONDS);
-    this.#pump();
+      this.#processOutput();
+      this.#publishLeadershipChange();
+    }, TICK_INTERVAL_MILLISECONDS);
+    this.#processOutput();
   }
 
   async stop(): Promise<void> {
-    this.#stopped = true;
+    this.#isStopped = true;
     clearInterval(this.#timer);
-    while (this.#running) await pause(5);
+    while (this.#isProcessing) await pause(5);
     await this.#options.folder.close();
   }
 
   receive(message: PeerMessage): void {
-    if (this.#stopped) return;
+    if (this.#isStopped) return;
     this.#options.log.ring.observe(Date.now(), {
       time: message.clockTime,
       counter: message.clockCounter,
     });
     this.#options.node.receive(message, monotonicMilliseconds());
-    this.#pump();
+    this.#processOutput();
   }
 
-  /** Sends what was proposed in this turn of the event loop as one batch. */
-  flushSoon(): void {
-    if (this.#flushPlanned) return;
-    this.#flushPlanned = true;
+  /** Sends all proposals of this event loop turn as one batch. */
+  scheduleFlush(): void {
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
     setImmediate(() => {
-      this.#flushPlanned = false;
+      this.#isFlushScheduled = false;
       this.#options.node.flush(monotonicMilliseconds());
-      this.#pump();
+      this.#processOutput();
     });
   }
 
-  #noteLeadership(): void {
+  #publishLeadershipChange(): void {
     const { node } = this.#options;
-    const leads = node.isLeading(monotonicMilliseconds()) &&
+    const isLeading = node.isLeading(monotonicMilliseconds()) &&
       node.hasCommittedOwnTerm;
     const { leaderId: leader } = node;
-    const known = this.#leadershipView;
-    if (leader === known.leader && leads === known.leads) return;
-    this.#leadershipView = { leader, leads };
+    const known = this.#lastLeadership;
+    if (leader === known.leader && isLeading === known.isLeading) return;
+    this.#lastLeadership = { leader, isLeading };
     this.leadership$.next();
   }
 
-  #pump(): void {
+  #processOutput(): void {
     this.#sendAll(this.#options.node.takeImmediate());
-    if (this.#running || this.#stopped || !this.#options.node.hasOutput) return;
-    this.#running = true;
-    this.#drain()
+    if (
+      this.#isProcessing || this.#isStopped || !this.#options.node.hasOutput
+    ) return;
+    this.#isProcessing = true;
+    this.#processUntilEmpty()
       .catch((error) => this.#options.stopProcess(String(error.stack ?? error)))
       .finally(() => {
-        this.#running = false;
+        this.#isProcessing = false;
       });
   }
 
-  async #drain(): Promise<void> {
-    while (!this.#stopped) {
+  async #processUntilEmpty(): Promise<void> {
+    while (!this.#isStopped) {
       const output = this.#options.node.takeOutput();
       this.#sendAll(output.immediate);
-      if (!(await this.#store(output))) return;
+      if (!(await this.#persist(output))) return;
       this.#sendAll(output.afterSync);
       for (const entry of output.committed) this.committed$.next(entry);
-      await this.#takeSnapshotWhenDue();
+      await this.#compactIfDue();
       if (isEmpty(output)) return;
     }
   }
 
-  async #store(output: RaftOutput): Promise<boolean> {
+  async #persist(output: RaftOutput): Promise<boolean> {
     const { folder, node } = this.#options;
     if (output.snapshot !== undefined) {
-      const saved = await this.#insist(() =>
+      const saved = await this.#retryWhileDiskFull(() =>
         folder.saveSnapshot(output.snapshot!, {
           hardState: node.hardState,
           entries: [],
         })
       );
       if (!saved) return false;
-      this.installed$.next(output.snapshot);
+      this.snapshotInstalled$.next(output.snapshot);
     }
     const last = output.entries.at(-1);
     const writes = last !== undefined || output.hardState !== undefined ||
       output.truncateFrom !== undefined;
-    if (writes && !(await this.#insist(() => folder.append(output)))) {
+    if (
+      writes && !(await this.#retryWhileDiskFull(() => folder.append(output)))
+    ) {
       return false;
     }
     if (last !== undefined) node.markSynced(last.index, last.term);
@@ -153,14 +157,15 @@
   }
 
   /**
-   * A full disk is waited out: nothing is confirmed meanwhile, so others take
-   * over the lead. Any other failure ends the process.
+   * Repeats a write until the disk has space. Nothing is acknowledged in the
+   * meantime, so another member takes over leadership. Any other failure ends
+   * the process. Returns false if the driver stops first.
    */
-  async #insist(
+  async #retryWhileDiskFull(
     write: () => Promise<Result<void, StorageProblem>>,
   ): Promise<boolean> {
-    let told = false;
-    while (!this.#stopped) {
+    let isLogged = false;
+    while (!this.#isStopped) {
       const written = await write();
       if (written.isOk) return true;
       const { kind, detail } = written.error;
@@ -168,14 +173,14 @@
         this.#options.stopProcess(`${kind}: ${detail}`);
         return false;
       }
-      if (!told) this.#options.log.error("disk-full", { detail });
-      told = true;
+      if (!isLogged) this.#options.log.error("disk-full", { detail });
+      isLogged = true;
       await pause(FULL_DISK_RETRY_MILLISECONDS);
     }
     return false;
   }
 
-  async #takeSnapshotWhenDue(): Promise<void> {
+  async #compactIfDue(): Promise<void> {
     const { folder, node, snapshotBytes, encodeState } = this.#options;
     if (folder.segmentBytes < snapshotBytes) return;
     const { index, state } = encodeState();
--- a/packages/daemon/src/control/replace_founder.ts
+++ b/packages/daemon/src/control/replace_founder.ts
@@ -6,7 +6,7 @@
 import type { ControlHost } from "./control_host.ts";
 import { replaceMember } from "./replace_member.ts";
 
-const INTRODUCE_MILLISECONDS = 2_000;
+const INTRODUCE_TIMEOUT_MILLISECONDS = 2_000;
 
 type Options = {
   control: ControlHost;
@@ -16,8 +16,8 @@
 };
 
 /**
- * Replaces the member at a founder's address by the process that runs there
- * now; the error says why it can't.
+ * Replaces the member at a founder's address with the process that runs there
+ * now. Returns the new member's id, or an error with the reason.
  */
 export async function replaceFounder(
   name: string,
@@ -30,7 +30,7 @@
     return Result.err(`no control host is named "${name}" in founders`);
   }
   const answer = await clients.client(PeerService, founder.address)
-    .introduce({ member: self }, { timeoutMs: INTRODUCE_MILLISECONDS })
+    .introduce({ member: self }, { timeoutMs: INTRODUCE_TIMEOUT_MILLISECONDS })
     .catch(() => undefined);
   if (answer?.member === undefined) {
     return Result.err("the new process can't be reached");
--- a/packages/daemon/src/control/replace_member.ts
+++ b/packages/daemon/src/control/replace_member.ts
@@ -9,25 +9,25 @@
 import type { ControlHost } from "./control_host.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-const STEP_MILLISECONDS = 20;
-const REPLACE_MILLISECONDS = 30_000;
+const STEP_INTERVAL_MILLISECONDS = 20;
+const REPLACE_TIMEOUT_MILLISECONDS = 30_000;
 
-/** The members that come next, or undefined when the repair is done. */
+/** The next membership to propose; undefined once the replacement is done. */
 function nextMembers(
   control: ControlHost,
   joining: Member,
 ): Member[] | undefined {
   const { node } = control;
   const { members } = node.membership;
-  const known = members.find(({ id }) => id === joining.id);
-  if (known === undefined) {
+  const existing = members.find(({ id }) => id === joining.id);
+  if (existing === undefined) {
     return [...members, create(MemberSchema, { ...joining, learner: true })];
   }
   const lost = members.find(({ id, name }) =>
     name === joining.name && id !== joining.id
   );
   if (lost !== undefined) return members.filter(({ id }) => id !== lost.id);
-  if (!known.learner) return undefined;
+  if (!existing.learner) return undefined;
   return members.map((member) =>
     member.id === joining.id
       ? create(MemberSchema, { ...member, learner: false })
@@ -37,21 +37,22 @@
 
 function isCaughtUp(control: ControlHost, joining: Member): boolean {
   const { node } = control;
-  const known = node.membership.members.some(({ id }) => id === joining.id);
-  return !known || node.matchIndexOf(joining.id) >= node.commitIndex;
+  const existing = node.membership.members.some(({ id }) => id === joining.id);
+  return !existing || node.matchIndexOf(joining.id) >= node.commitIndex;
 }
 
 /**
- * Gives a lost voter's place to a new member, one change at a time: it first
- * learns everything, then the lost id goes, then it votes. Sent again, it
- * goes on where it stopped.
+ * Replaces a lost voter with a new member, one membership change at a time: the
+ * new member is added as a learner and catches up, the lost id is removed, and
+ * the learner becomes a voter. Returns the new member's id, or an error. A
+ * repeated call continues where the last one stopped.
  */
 export async function replaceMember(
   control: ControlHost,
   joining: Member,
 ): Promise<Result<string, string>> {
-  const until = monotonicMilliseconds() + REPLACE_MILLISECONDS;
-  while (monotonicMilliseconds() < until) {
+  const deadline = monotonicMilliseconds() + REPLACE_TIMEOUT_MILLISECONDS;
+  while (monotonicMilliseconds() < deadline) {
     if (!control.isLeading(monotonicMilliseconds())) {
       return Result.err("no-leader");
     }
@@ -61,7 +62,7 @@
       if (members === undefined) return Result.ok(joining.id);
       control.proposeMembership(create(MembershipSchema, { members }));
     }
-    await pause(STEP_MILLISECONDS);
+    await pause(STEP_INTERVAL_MILLISECONDS);
   }
   return Result.err("the new member did not catch up in time; send it again");
 }
--- a/packages/daemon/src/control/shared_view.ts
+++ b/packages/daemon/src/control/shared_view.ts
@@ -12,73 +12,96 @@
 import type { EventLog } from "../log/event_log.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import { encodeBackend } from "../transport/encode_backend.ts";
-import { CrashJudge } from "./crash_judge.ts";
+import { CrashAttributor } from "./crash_attributor.ts";
 import { LimitDivider } from "./limit_divider.ts";
-import { LatestGatherer } from "./latest_gatherer.ts";
-
-/** Five heartbeats of the slowest kind: they may come seconds late. */
-const SILENT_MILLISECONDS = 6_000;
-/** Longer than a partition holds up a heartbeat that was sent before an end. */
-const FORGET_MILLISECONDS = 60_000;
-/** Ends longer ago say nothing of a request that has not been blamed. */
-const SUSPICION_MILLISECONDS = 600_000;
-const EXPIRE_EVERY_MILLISECONDS = 500;
-/** Half of the time between heartbeats to a follower. */
-const LOOK_MILLISECONDS = 200;
+import { LatestValueBatcher } from "./latest_value_batcher.ts";
+
+/** Five intervals of the slowest heartbeat; heartbeats can be seconds late. */
+const SILENCE_TIMEOUT_MILLISECONDS = 6_000;
+/**
+ * Longer than a network partition can delay a heartbeat that a backend server
+ * sent before its end.
+ */
+const END_RETENTION_MILLISECONDS = 60_000;
+/** Older ends are no evidence against a request that is not blamed yet. */
+const SUSPICION_RETENTION_MILLISECONDS = 600_000;
+const EXPIRE_INTERVAL_MILLISECONDS = 500;
+/** Half of the 400 ms between heartbeats to a follower. */
+const HEARTBEAT_CHECK_MILLISECONDS = 200;
 /** Followers hear of loads so often at most; agents look at them half as often. */
-const GATHER_LOADS_MILLISECONDS = 100;
-/** Many engines change at once when a version is loaded, or behind an outage. */
-const GATHER_NOTICES_MILLISECONDS = 20;
-/** A fraction of the silence after which a backend server counts as gone. */
-const GATHER_HEARD_MILLISECONDS = 200;
+const LOAD_BATCH_MILLISECONDS = 100;
+/** Many engines change at once while a version is loaded or after an outage. */
+const NOTICE_BATCH_MILLISECONDS = 20;
+/** A fraction of the 6 s of silence after which a backend server is gone. */
+const STANDING_BATCH_MILLISECONDS = 200;
 
 type Options = {
   log: EventLog;
-  /** The replicated tables as far as this host has them. */
-  logState: () => ControlState;
+  /** The replicated state as far as this host has applied it. */
+  replicatedState: () => ControlState;
   dataCentre: string;
   controlAddresses: () => string[];
-  /** Whether the tables hold all that was accepted when this host started. */
+  /** Whether it includes all that was committed when this host started. */
   isCurrent: () => boolean;
 };
 
-/** What a control host passes on to its followers. */
+/**
+ * What a control host sends to its followers (gateways and other control
+ * hosts): backend servers, engine notices and loads, blames, limits and the
+ * replicated configuration. Other control hosts get the changes of backend
+ * servers, loads, crash reports and limit demands that were reported to this
+ * host itself ("local"), so that these don't circulate among control hosts.
+ */
 export class SharedView {
-  /** Standings that changed in something that matters to routing. */
+  /** Backend servers whose standing changed in a way that affects routing. */
   readonly changed$ = new Subject<Backend[]>();
-  /** What backend servers said to this very host; that they live, gathered. */
-  readonly heardHere$ = new Subject<Backend[]>();
-  /** The replicated tables changed. */
-  readonly log$ = new Subject<void>();
-  readonly hosts$ = new Subject<void>();
-  /** When followers' sessions look what they have to say; one timer for all. */
-  readonly look$ = interval(LOOK_MILLISECONDS).pipe(share());
-  /** Which requests end the backend servers that run them. */
-  readonly crashes: CrashJudge;
-  /** What backend servers in need take, and who wants it. */
+  /**
+   * Standings that backend servers sent to this host. Mere signs of life are
+   * batched.
+   */
+  readonly localBackends$ = new Subject<Backend[]>();
+  /** Emits when the replicated state changed. */
+  readonly stateChanged$ = new Subject<void>();
+  readonly controlHostsChanged$ = new Subject<void>();
+  /**
+   * Emits when follow sessions check whether a heartbeat is due. One timer
+   * serves all sessions.
+   */
+  readonly heartbeatCheck$ = interval(HEARTBEAT_CHECK_MILLISECONDS).pipe(
+    share(),
+  );
+  /** Finds the requests that end the backend servers running them. */
+  readonly crashes: CrashAttributor;
+  /** Divides the limits that overloaded backend servers named among hosts. */
   readonly limits = new LimitDivider();
   #options: Options;
   #registry = new BackendRegistry({
-    silentMilliseconds: SILENT_MILLISECONDS,
-    forgetMilliseconds: FORGET_MILLISECONDS,
+    silentMilliseconds: SILENCE_TIMEOUT_MILLISECONDS,
+    forgetMilliseconds: END_RETENTION_MILLISECONDS,
   });
-  /** Versions whose naming this process saw, not those of before it. */
-  #named = new NamedVersions();
+  /**
+   * Weight versions that this process saw named, and those current when it
+   * started; no earlier ones.
+   */
+  #namedVersions = new NamedVersions();
   #notices = new Map<string, EngineNotice>();
-  #noticesSoon = gatherByEngine<EngineNotice>(GATHER_NOTICES_MILLISECONDS);
-  #loadsSoon = gatherByEngine<EngineLoad>(GATHER_LOADS_MILLISECONDS);
-  #loadsHereSoon = gatherByEngine<EngineLoad>(GATHER_LOADS_MILLISECONDS);
-  #heardSoon = new LatestGatherer<Backend>({
-    milliseconds: GATHER_HEARD_MILLISECONDS,
+  #noticeBatcher = batchByEngine<EngineNotice>(NOTICE_BATCH_MILLISECONDS);
+  #loadBatcher = batchByEngine<EngineLoad>(LOAD_BATCH_MILLISECONDS);
+  #localLoadBatcher = batchByEngine<EngineLoad>(LOAD_BATCH_MILLISECONDS);
+  #standingBatcher = new LatestValueBatcher<Backend>({
+    milliseconds: STANDING_BATCH_MILLISECONDS,
     keyOf: ({ instance }) => instance,
   });
   #timer: NodeJS.Timeout;
 
   constructor(options: Options) {
     this.#options = options;
-    this.crashes = new CrashJudge(options);
-    this.#timer = setInterval(() => this.#expire(), EXPIRE_EVERY_MILLISECONDS);
-    this.#heardSoon.gathered$.subscribe(this.heardHere$);
+    this.crashes = new CrashAttributor(options);
+    this.#timer = setInterval(
+      () => this.#expire(),
+      EXPIRE_INTERVAL_MILLISECONDS,
+    );
+    this.#standingBatcher.batches$.subscribe(this.localBackends$);
   }
 
   stop(): void {
@@ -86,28 +109,28 @@
     this.crashes.stop();
     this.limits.stop();
     for (
-      const gatherer of [
-        this.#noticesSoon,
-        this.#loadsSoon,
-        this.#loadsHereSoon,
-        this.#heardSoon,
+      const batcher of [
+        this.#noticeBatcher,
+        this.#loadBatcher,
+        this.#localLoadBatcher,
+        this.#standingBatcher,
       ]
-    ) gatherer.stop();
+    ) batcher.stop();
   }
 
-  /** What agents said of their engines, gathered for a moment. */
+  /** Notices of agents about their engines, in batches. */
   get engines$(): Observable<EngineNotice[]> {
-    return this.#noticesSoon.gathered$;
+    return this.#noticeBatcher.batches$;
   }
 
-  /** Loads of engines that changed, gathered for a moment. */
+  /** Changed loads of engines, in batches. */
   get loads$(): Observable<EngineLoad[]> {
-    return this.#loadsSoon.gathered$;
+    return this.#loadBatcher.batches$;
   }
 
-  /** Those of them that agents told this very host. */
-  get loadsHere$(): Observable<EngineLoad[]> {
-    return this.#loadsHereSoon.gathered$;
+  /** Those loads that agents reported to this host, in batches. */
+  get localLoads$(): Observable<EngineLoad[]> {
+    return this.#localLoadBatcher.batches$;
   }
 
   get dataCentre(): string {
@@ -118,32 +141,40 @@
     return this.#options.isCurrent();
   }
 
-  logState(): ControlState {
-    return this.#options.logState();
+  replicatedState(): ControlState {
+    return this.#options.replicatedState();
   }
 
-  /** The replicated tables changed while this process ran, or are the first. */
-  noteLog({ isFirst }: { isFirst: boolean }): void {
+  /**
+   * Called when the replicated state changed, and with `isFirst` once it is
+   * first current. Weights in the first state are as old as their timestamp
+   * says; later ones are taken to be named now.
+   */
+  handleStateChange({ isFirst }: { isFirst: boolean }): void {
     const now = monotonicMilliseconds();
     for (
-      const { model, version, at } of this.logState().namedWeights.values()
+      const { model, version, at } of this.replicatedState().namedWeights
+        .values()
     ) {
       const age = isFirst ? Math.max(0, Date.now() - at) : 0;
-      this.#named.add(model, { version, namedAt: now - age });
+      this.#namedVersions.add(model, { version, namedAt: now - age });
     }
-    if (isFirst) this.#recallBlames(now);
-    this.log$.next();
+    if (isFirst) this.#restoreCrashState(now);
+    this.stateChanged$.next();
   }
 
-  /** Ahead of the routing that lets gateways take requests. */
-  #recallBlames(monotonic: number): void {
-    const rows = [...this.logState().blamedRequests.values()];
+  /**
+   * Restores blames and suspicions before followers get the routing, with which
+   * gateways start to accept requests.
+   */
+  #restoreCrashState(monotonic: number): void {
+    const rows = [...this.replicatedState().blamedRequests.values()];
     const timeOfDay = Date.now();
-    this.crashes.recallSuspicions(
-      [...this.logState().suspectedRequests.values()]
-        .filter(({ at }) => timeOfDay - at < SUSPICION_MILLISECONDS),
+    this.crashes.restoreSuspicions(
+      [...this.replicatedState().suspectedRequests.values()]
+        .filter(({ at }) => timeOfDay - at < SUSPICION_RETENTION_MILLISECONDS),
     );
-    this.crashes.recall(
+    this.crashes.restoreBlames(
       rows.map((row) => blameOfRow(row, { timeOfDay, monotonic }))
         .filter(({ endsAt }) => endsAt > monotonic),
     );
@@ -151,13 +182,13 @@
 
   ageOfWeights(model: string, version: number): number {
     const now = monotonicMilliseconds();
-    return now - (this.#named.namedAt(model, version) ?? now);
+    return now - (this.#namedVersions.namedAt(model, version) ?? now);
   }
 
-  /** Versions of a model named until now, and how long ago. */
+  /** All known versions of a model, with the time since each was named. */
   namedAges(model: string): { version: number; ageMilliseconds: number }[] {
     const now = monotonicMilliseconds();
-    return this.#named.all(model).map(({ version, namedAt }) => ({
+    return this.#namedVersions.all(model).map(({ version, namedAt }) => ({
       version,
       ageMilliseconds: now - namedAt,
     }));
@@ -175,57 +206,64 @@
     return [...this.#notices.values()];
   }
 
-  /** A backend server's own word, said to this host. */
-  hear(standing: BackendStanding): void {
+  /** Adds a standing that a backend server sent to this host. */
+  addLocalStanding(standing: BackendStanding): void {
     const changed = this.#registry.take(standing, monotonicMilliseconds());
-    const heard = encodeBackend(standing);
-    // That it lives can wait; what it says anew is told ahead of its answer.
-    if (changed.length === 0) return this.#heardSoon.add(heard);
-    this.heardHere$.next([heard]);
-    this.#tell(changed, "heard");
+    const encoded = encodeBackend(standing);
+    // A mere sign of life can wait for the batch. A change is published before
+    // the backend server gets its answer.
+    if (changed.length === 0) return this.#standingBatcher.add(encoded);
+    this.localBackends$.next([encoded]);
+    this.#publishChanges(changed, "heard");
   }
 
-  /** A backend server said to this host that it has left. */
-  hearLeaving(instance: string): void {
-    const changed = this.#registry.leave(instance, monotonicMilliseconds());
-    if (changed.length > 0) this.heardHere$.next(changed.map(encodeBackend));
-    this.#tell(changed, "heard");
+  /** Marks a backend server as gone that told this host it is leaving. */
+  removeLocalBackend(instance: string): void {
+    const ended = this.#registry.leave(instance, monotonicMilliseconds());
+    if (ended.length > 0) this.localBackends$.next(ended.map(encodeBackend));
+    this.#publishChanges(ended, "heard");
   }
 
-  /** What another control host heard. */
-  learn(standings: BackendStanding[]): void {
+  /** Adds standings that another control host received. */
+  addRemoteStandings(standings: BackendStanding[]): void {
     const now = monotonicMilliseconds();
     for (const standing of standings) {
-      this.#tell(this.#registry.take(standing, now), "passed-on");
+      this.#publishChanges(this.#registry.take(standing, now), "passed-on");
     }
   }
 
-  /** A stager's earlier session may end after its next one has begun. */
-  notice(notice: EngineNotice): void {
+  /**
+   * Adds a stager's notice, unless it is older than the known one: a stager's
+   * earlier session may end after its next one has begun.
+   */
+  addEngineNotice(notice: EngineNotice): void {
     const known = this.#notices.get(notice.engineAddress);
     const isOld = known !== undefined && !known.agentGone &&
       known.sequence > notice.sequence;
     if (isOld) return;
     this.#notices.set(notice.engineAddress, notice);
-    this.#noticesSoon.add(notice);
+    this.#noticeBatcher.add(notice);
   }
 
-  /** What an agent told this host of its engine. */
-  noteLoad(load: EngineLoad): void {
-    this.#loadsHereSoon.add(load);
-    this.#loadsSoon.add(load);
+  /** Adds a load that an agent reported to this host. */
+  addLocalLoad(load: EngineLoad): void {
+    this.#localLoadBatcher.add(load);
+    this.#loadBatcher.add(load);
   }
 
-  /** What another control host was told. */
-  learnLoads(loads: EngineLoad[]): void {
-    for (const load of loads) this.#loadsSoon.add(load);
+  /** Adds loads that another control host received. */
+  addRemoteLoads(loads: EngineLoad[]): void {
+    for (const load of loads) this.#loadBatcher.add(load);
   }
 
   #expire(): void {
-    this.#tell(this.#registry.expire(monotonicMilliseconds()), "silent");
+    this.#publishChanges(
+      this.#registry.expire(monotonicMilliseconds()),
+      "silent",
+    );
   }
 
-  #tell(changed: BackendStanding[], how: string): void {
+  #publishChanges(changed: BackendStanding[], how: string): void {
     if (changed.length === 0) return;
     for (const standing of changed) {
       this.#options.log.info("backend-server-changed", {
@@ -244,10 +282,10 @@
   }
 }
 
-function gatherByEngine<Value extends { engineAddress: string }>(
+function batchByEngine<Value extends { engineAddress: string }>(
   milliseconds: number,
-): LatestGatherer<Value> {
-  return new LatestGatherer({
+): LatestValueBatcher<Value> {
+  return new LatestValueBatcher({
     milliseconds,
     keyOf: ({ engineAddress }) => engineAddress,
   });
