--- a/packages/daemon/src/entry/calls/answer_part.ts
+++ b/packages/daemon/src/entry/calls/answer_part.ts
@@ -1,4 +1,4 @@
-/** A piece of a call's answer, as the entry host reads it from an agent. */
+/** One part of a call's answer, as the entry host reads it from an agent. */
 export type AnswerPart =
   | { kind: "start"; status: number; contentType: string; version: string }
   | { kind: "data"; bytes: Uint8Array }
@@ -8,8 +8,11 @@
     outcome: "not-run" | "ran" | "unknown";
     reason: string;
     retryAfterMilliseconds: number;
-    /** The start of the backend server that ended; empty if none did. */
+    /**
+     * Incarnation of the backend server process that ended during the call;
+     * empty if none did.
+     */
     endedIncarnation: string;
   }
-  /** The answer can't be had whole any more. */
+  /** The complete answer can no longer be read. */
   | { kind: "broken"; reason: string };
--- a/packages/daemon/src/entry/calls/call_crashes.ts
+++ b/packages/daemon/src/entry/calls/call_crashes.ts
@@ -10,22 +10,26 @@
 import type { Proposer } from "../sessions/proposer.ts";
 import type { CheckedCall } from "./checked_call.ts";
 
-/** What one end breaks off at this host is known within so long. */
-const SETTLE_MILLISECONDS = 150;
-const EXPIRE_MILLISECONDS = 10_000;
-const FINGERPRINT_DIGITS = 24;
+/**
+ * Within this time, every call that one backend server's end interrupted at
+ * this host has been reported.
+ */
+const REPORT_SETTLE_MILLISECONDS = 150;
+const EXPIRY_INTERVAL_MILLISECONDS = 10_000;
+const FINGERPRINT_HEX_DIGITS = 24;
 
 type Options = { control: Proposer; log: EventLog };
 
 /**
- * An entry host's part in finding calls that end what runs them. Blames go to
- * the other entry hosts, and over a restart, by the replicated tables.
+ * Detects calls that crash the backend servers which run them, and refuses
+ * them. Blames are stored in the replicated tables, so that they reach the
+ * other entry hosts and survive a restart.
  */
 export class CallCrashes {
   #options: Options;
-  #ledger = new CrashLedger({ settleMilliseconds: SETTLE_MILLISECONDS });
-  /** Blames that the tables hold, by fingerprint. */
-  #kept = new Set<string>();
+  #ledger = new CrashLedger({ settleMilliseconds: REPORT_SETTLE_MILLISECONDS });
+  /** Fingerprints of the blamed calls in the replicated tables. */
+  #replicatedFingerprints = new Set<string>();
   #decideTimer: NodeJS.Timeout | undefined;
   #expireTimer: NodeJS.Timeout;
 
@@ -33,7 +37,7 @@
     this.#options = options;
     this.#expireTimer = setInterval(
       () => this.#ledger.expire(monotonicMilliseconds()),
-      EXPIRE_MILLISECONDS,
+      EXPIRY_INTERVAL_MILLISECONDS,
     );
   }
 
@@ -42,27 +46,34 @@
     clearInterval(this.#expireTimer);
   }
 
-  /** The tables changed: others may have blamed a call, or cleared one. */
+  /**
+   * Takes over the blames of changed tables: other entry hosts may have blamed
+   * or cleared a call.
+   */
   follow({ blamedRequests }: ControlState): void {
     const now = {
       timeOfDay: Date.now(),
       monotonic: monotonicMilliseconds(),
     };
-    for (const fingerprint of this.#kept) {
+    for (const fingerprint of this.#replicatedFingerprints) {
       if (!blamedRequests.has(fingerprint)) this.#ledger.clear(fingerprint);
     }
-    this.#kept = new Set(blamedRequests.keys());
+    this.#replicatedFingerprints = new Set(blamedRequests.keys());
     for (const row of blamedRequests.values()) {
       const blame = blameOfRow(row, now);
       if (blame.endsAt > now.monotonic) this.#ledger.learn(blame);
     }
   }
 
-  /** Why a call is not to be run now; undefined where it may. */
+  /**
+   * Why a call must not be run now; undefined if it may. Once a blame has
+   * expired, this lets one call through as a trial and refuses others
+   * meanwhile.
+   */
   refusal(call: CheckedCall): Problem | undefined {
     if (!this.#ledger.hasBlamed) return undefined;
     const now = monotonicMilliseconds();
-    const blame = this.#ledger.refusal(fingerprintOf(call), now);
+    const blame = this.#ledger.refusal(computeFingerprint(call), now);
     if (blame === undefined) return undefined;
     const { log } = this.#options;
     const fields = { ...blameFields(blame, now), outcome: "not-run" };
@@ -76,61 +87,73 @@
     };
   }
 
-  /** Whether this host may send it once more of its own accord. */
-  maySendAgain(call: CheckedCall): boolean {
+  /** Whether this host may retry the call without the caller asking again. */
+  mayRetry(call: CheckedCall): boolean {
     return this.#ledger.suspectCount === 0 ||
-      this.#ledger.maySendAgain(fingerprintOf(call));
+      this.#ledger.maySendAgain(computeFingerprint(call));
   }
 
-  /** A backend server ended under a call; `begunAt` is monotonic. */
-  noteEnd(
+  /**
+   * Records that a backend server ended during a call. `begunAt` is when the
+   * call or its answer began, in monotonic milliseconds.
+   */
+  recordCrash(
     call: CheckedCall,
     incarnation: string,
     begunAt: number,
   ): void {
     const now = monotonicMilliseconds();
     const begunMilliseconds = now - begunAt;
-    const fingerprint = fingerprintOf(call);
+    const fingerprint = computeFingerprint(call);
     this.#options.log.info("backend-server-ended", {
       instance: incarnation,
       fingerprint,
       begun_milliseconds: Math.round(begunMilliseconds),
     });
     this.#ledger.report({ fingerprint, incarnation, begunMilliseconds }, now);
-    this.#decideSoon();
+    this.#scheduleDecision();
   }
 
-  noteGoodEnd(call: CheckedCall): void {
+  /** Clears the call of suspicion and blame: it has run to its end. */
+  recordCompletion(call: CheckedCall): void {
     if (this.#ledger.suspectCount === 0 && !this.#ledger.hasBlamed) return;
-    const fingerprint = fingerprintOf(call);
+    const fingerprint = computeFingerprint(call);
     if (!this.#ledger.clear(fingerprint)) return;
-    if (!this.#kept.has(fingerprint)) return;
+    if (!this.#replicatedFingerprints.has(fingerprint)) return;
     this.#options.control.propose({ kind: "lift-blame", fingerprint });
   }
 
-  #decideSoon(): void {
+  #scheduleDecision(): void {
     this.#decideTimer ??= setTimeout(() => {
       this.#decideTimer = undefined;
       const blames = this.#ledger.decide(monotonicMilliseconds());
-      for (const blame of blames) this.#keep(blame);
-      if (this.#ledger.isUndecided) this.#decideSoon();
-    }, SETTLE_MILLISECONDS);
+      for (const blame of blames) this.#replicateBlame(blame);
+      if (this.#ledger.isUndecided) this.#scheduleDecision();
+    }, REPORT_SETTLE_MILLISECONDS);
   }
 
-  #keep(blame: Blame): void {
+  /** Logs a new blame and proposes it to the replicated tables. */
+  #replicateBlame(blame: Blame): void {
     const { control, log } = this.#options;
     const fields = blameFields(blame, monotonicMilliseconds());
     log.warn("request-blamed", { ...fields, how: "decided" });
-    const { endsAt: _endsAt, ...kept } = blame;
-    control.propose({ kind: "blame-request", ...kept, at: Date.now() });
+    const { endsAt: _endsAt, ...fieldsToStore } = blame;
+    control.propose({
+      kind: "blame-request",
+      ...fieldsToStore,
+      at: Date.now(),
+    });
   }
 }
 
-/** The same for all attempts of one call: service, path, caller and body. */
-function fingerprintOf(call: CheckedCall): string {
+/**
+ * Hashes service, path, workspace and body, so that all attempts of one call
+ * have the same fingerprint.
+ */
+function computeFingerprint(call: CheckedCall): string {
   return createHash("sha256")
     .update(`${call.service}\n${call.path}\n${call.workspace}\n`)
     .update(call.body)
     .digest("hex")
-    .slice(0, FINGERPRINT_DIGITS);
+    .slice(0, FINGERPRINT_HEX_DIGITS);
 }
--- a/packages/daemon/src/entry/calls/call_handler.ts
+++ b/packages/daemon/src/entry/calls/call_handler.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { StatsD } from "hot-shots";
-import type { EntryWorld } from "../entry_world.ts";
+import type { EntryContext } from "../entry_context.ts";
 import { checkCall } from "./check_call.ts";
 import type { CheckedCall } from "./checked_call.ts";
 import type { Problem } from "../../http/problem.ts";
@@ -8,18 +8,18 @@
 import { RepeatableCall } from "./repeatable_call.ts";
 import { sendProblem } from "../../http/send_problem.ts";
 import { UnrepeatableCall } from "./unrepeatable_call.ts";
-import { withoutPromise } from "./without_promise.ts";
+import { maskUnverifiedNotRun } from "./mask_unverified_not_run.ts";
 
 type Options = { idleMilliseconds: number; metrics: StatsD };
 
-/** Takes callers' requests: checks, limits, then routes them. */
+/** Handles callers' requests: checks them, applies limits and routes them. */
 export class CallHandler {
-  #world: EntryWorld;
+  #context: EntryContext;
   #options: Options;
   #inProgress = 0;
 
-  constructor(world: EntryWorld, options: Options) {
-    this.#world = world;
+  constructor(context: EntryContext, options: Options) {
+    this.#context = context;
     this.#options = options;
   }
 
@@ -35,36 +35,37 @@
     const startedAt = Date.now();
     const { metrics } = this.#options;
     try {
-      const problem = await this.#answer(request, response);
+      const problem = await this.#processCall(request, response);
       if (problem === undefined) metrics.increment("calls.answered");
-      else this.#refuse(response, problem);
+      else this.#sendRefusal(response, problem);
     } finally {
       this.#inProgress -= 1;
       metrics.timing("calls.milliseconds", Date.now() - startedAt);
     }
   }
 
-  #refuse(response: ServerResponse, problem: Problem): void {
+  #sendRefusal(response: ServerResponse, problem: Problem): void {
     this.#options.metrics.increment("calls.refused", 1, {
       reason: problem.type,
     });
     sendProblem(response, problem);
   }
 
-  async #answer(
+  /** Answers the call, or returns the problem to answer with. */
+  async #processCall(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<Problem | undefined> {
-    const world = this.#world;
+    const context = this.#context;
     const head = checkCall(request, {
-      state: world.control.state,
+      state: context.control.state,
       isRepeatable: (service) =>
-        world.table.ofService(service).at(0)?.repeatable,
+        context.table.ofService(service).at(0)?.repeatable,
       now: Date.now(),
     });
     if (head.isErr) {
       response.setHeader("Connection", "close");
-      return withoutPromise(request, head.error);
+      return maskUnverifiedNotRun(request, head.error);
     }
     const { maximumBodyBytes, ...fields } = head.value;
     const body = await readBody(request, {
@@ -73,16 +74,17 @@
     });
     if (body.isErr) {
       response.setHeader("Connection", "close");
-      return withoutPromise(request, body.error);
+      return maskUnverifiedNotRun(request, body.error);
     }
-    const limited = this.#limit(fields.workspace);
-    if (limited !== undefined) return withoutPromise(request, limited);
-    return this.#route({ ...fields, body: body.value }, request, response);
+    const limited = this.#checkRateLimit(fields.workspace);
+    if (limited !== undefined) return maskUnverifiedNotRun(request, limited);
+    return this.#runCall({ ...fields, body: body.value }, request, response);
   }
 
-  #limit(workspace: string): Problem | undefined {
+  #checkRateLimit(workspace: string): Problem | undefined {
     const now = Date.now();
-    const admission = this.#world.limits.limiter(workspace, now).admit(now);
+    const admission = this.#context.limits.getLimiter(workspace, now)
+      .admit(now);
     if (admission.admitted) return undefined;
     return {
       status: 429,
@@ -93,25 +95,27 @@
     };
   }
 
-  async #route(
+  async #runCall(
     call: CheckedCall,
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<Problem | undefined> {
-    const world = this.#world;
-    const refusal = world.crashes.refusal(call);
-    if (refusal !== undefined) return withoutPromise(request, refusal);
-    const repeatable = world.table.ofService(call.service).at(0)?.repeatable;
+    const context = this.#context;
+    const refusal = context.crashes.refusal(call);
+    if (refusal !== undefined) return maskUnverifiedNotRun(request, refusal);
+    const repeatable = context.table.ofService(call.service).at(0)?.repeatable;
     if (repeatable !== false) {
-      const services = { ...world, state: () => world.control.state };
+      const services = { ...context, state: () => context.control.state };
       const problem = await new RepeatableCall(services, call, response).run();
-      return problem && withoutPromise(request, problem);
+      return problem && maskUnverifiedNotRun(request, problem);
     }
-    const outcome = await new UnrepeatableCall(world, call).run();
-    // Withdrawn in the log, "not run" is a promise; else it is a guess.
+    const outcome = await new UnrepeatableCall(context, call).run();
+    // A claim that was cancelled in the log guarantees "not-run". Other
+    // failures that were not decided by the log are guesses: the call may have
+    // run earlier under the same key.
     if (outcome.kind === "not-run") return outcome.problem;
     if (outcome.kind === "failed") {
-      return withoutPromise(request, outcome.problem);
+      return maskUnverifiedNotRun(request, outcome.problem);
     }
     const { status, contentType, body } = outcome.answer;
     response.writeHead(status, {
--- a/packages/daemon/src/entry/calls/call_problems.ts
+++ b/packages/daemon/src/entry/calls/call_problems.ts
@@ -1,6 +1,6 @@
 import type { Problem } from "../../http/problem.ts";
 
-/** Why a call that may not be repeated has no answer. */
+/** Problems that calls which may not be repeated are answered with. */
 export const callProblems = {
   notRun(reason: string, retryAfterMilliseconds: number): Problem {
     return {
--- a/packages/daemon/src/entry/calls/check_call.ts
+++ b/packages/daemon/src/entry/calls/check_call.ts
@@ -5,15 +5,18 @@
 import type { Problem } from "../../http/problem.ts";
 
 const CALL_PATH = /^\/v1\/services\/([a-z0-9][a-z0-9._-]{0,62})(\/[^?#]*)?$/;
-const KEY = /^[\x21-\x7e]{1,200}$/;
-const MOST_DEADLINE_MILLISECONDS = 600_000;
+const IDEMPOTENCY_KEY = /^[\x21-\x7e]{1,200}$/;
+const MAX_DEADLINE_MILLISECONDS = 600_000;
 
-/** What can be checked of a call before its body is read. */
+/** The parts of a call that are checked before its body is read. */
 type CallHead = Omit<CheckedCall, "body"> & { maximumBodyBytes: number };
 
-type World = {
+type CheckContext = {
   state: ControlState;
-  /** Whether a service's calls may be repeated; undefined when not known. */
+  /**
+   * Whether a service's calls may be repeated; undefined if no backend server
+   * of the service is known.
+   */
   isRepeatable: (service: string) => boolean | undefined;
   now: number;
 };
@@ -26,30 +29,30 @@
   return Result.err({ status, type, outcome: "not-run", ...options });
 }
 
-function header(request: IncomingMessage, name: string): string {
+function readHeader(request: IncomingMessage, name: string): string {
   const value = request.headers[name];
   return typeof value === "string" ? value : "";
 }
 
 function checkDeadline(
   text: string,
-  standard: number,
+  defaultMilliseconds: number,
 ): Result<number, Problem> {
-  if (text === "") return Result.ok(standard);
+  if (text === "") return Result.ok(defaultMilliseconds);
   const value = Number(text);
   const valid = Number.isInteger(value) && value >= 1 &&
-    value <= MOST_DEADLINE_MILLISECONDS;
+    value <= MAX_DEADLINE_MILLISECONDS;
   if (valid) return Result.ok(value);
   return refuse(400, "bad-header", {
     field: "Teaselrouter-Deadline-Ms",
-    detail: `must be a whole number from 1 to ${MOST_DEADLINE_MILLISECONDS}`,
+    detail: `must be a whole number from 1 to ${MAX_DEADLINE_MILLISECONDS}`,
   });
 }
 
-/** Checks a caller's request line and headers against its contract. */
+/** Checks a request's path, method and headers against its contract. */
 export function checkCall(
   request: IncomingMessage,
-  world: World,
+  context: CheckContext,
 ): Result<CallHead, Problem> {
   const match = CALL_PATH.exec(request.url ?? "");
   if (match === null) {
@@ -60,8 +63,8 @@
   if (request.method !== "POST") {
     return refuse(405, "method-not-allowed", { detail: "callers use POST" });
   }
-  const workspace = header(request, "teaselrouter-workspace");
-  const contract = world.state.contracts.get(workspace);
+  const workspace = readHeader(request, "teaselrouter-workspace");
+  const contract = context.state.contracts.get(workspace);
   if (contract === undefined || contract.retired) {
     return refuse(403, "unknown-workspace", {
       field: "Teaselrouter-Workspace",
@@ -75,21 +78,21 @@
       detail: `the contract of "${workspace}" has no service "${service}"`,
     });
   }
-  const idempotencyKey = header(request, "idempotency-key");
-  if (idempotencyKey === "" && world.isRepeatable(service) === false) {
+  const idempotencyKey = readHeader(request, "idempotency-key");
+  if (idempotencyKey === "" && context.isRepeatable(service) === false) {
     return refuse(400, "missing-header", {
       field: "Idempotency-Key",
       detail: `calls of "${service}" may not be repeated and need a key`,
     });
   }
-  if (idempotencyKey !== "" && !KEY.test(idempotencyKey)) {
+  if (idempotencyKey !== "" && !IDEMPOTENCY_KEY.test(idempotencyKey)) {
     return refuse(400, "bad-header", {
       field: "Idempotency-Key",
       detail: "must be 1 to 200 visible ASCII characters",
     });
   }
   const deadline = checkDeadline(
-    header(request, "teaselrouter-deadline-ms"),
+    readHeader(request, "teaselrouter-deadline-ms"),
     contract.content.deadline_milliseconds,
   );
   if (deadline.isErr) return Result.err(deadline.error);
@@ -97,11 +100,11 @@
     workspace,
     service,
     path: match[2] ?? "/",
-    contentType: header(request, "content-type"),
+    contentType: readHeader(request, "content-type"),
     idempotencyKey,
     deadlineMilliseconds: deadline.value,
     priority: contract.content.priority,
-    receivedAt: world.now,
+    receivedAt: context.now,
     maximumBodyBytes: contract.content.maximum_body_bytes,
   });
 }
--- a/packages/daemon/src/entry/calls/checked_call.ts
+++ b/packages/daemon/src/entry/calls/checked_call.ts
@@ -1,6 +1,6 @@
 import type { Buffer } from "node:buffer";
 
-/** A caller's request that passed every check and its limit. */
+/** A caller's request that passed every check and its workspace's limit. */
 export type CheckedCall = {
   workspace: string;
   service: string;
@@ -9,7 +9,7 @@
   contentType: string;
   idempotencyKey: string;
   deadlineMilliseconds: number;
-  /** The contract's; larger goes first where calls wait. */
+  /** From the contract; queued calls with a larger value run first. */
   priority: number;
   receivedAt: number;
 };
--- a/packages/daemon/src/entry/calls/exchange_reader.ts
+++ b/packages/daemon/src/entry/calls/exchange_reader.ts
@@ -8,64 +8,71 @@
 import { pause } from "../../transport/pause.ts";
 import type { AnswerPart } from "./answer_part.ts";
 
-const SILENT_MILLISECONDS = 1_500;
-const MOST_FAILED_CONNECTIONS = 3;
-const RECONNECT_MILLISECONDS = 50;
+const SILENCE_TIMEOUT_MILLISECONDS = 1_500;
+const MAX_CONSECUTIVE_FAILURES = 3;
+const RECONNECT_DELAY_MILLISECONDS = 50;
 
 type Options = {
   clients: ClientPool;
   address: string;
   request: RunRequest;
-  /** The call was given up, or its caller left. */
+  /** Aborted when the call is given up or its caller disconnects. */
   signal: AbortSignal;
-  /** Attach to a call that was sent before, instead of sending it. */
+  /** Whether to attach to a call that was sent earlier instead of sending it. */
   attachOnly: boolean;
 };
 
 /**
- * Reads one answer from an agent by offset. A connection that breaks, or is
- * silent for longer than the agent's heartbeat, is given up and the answer
- * taken up on a new one where it stopped, so nothing is lost or doubled.
+ * Reads one answer from an agent, by byte offset. A connection that breaks, or
+ * stays silent for longer than the agent's heartbeat interval allows, is
+ * replaced by a new one. The reading resumes at the offset where it stopped,
+ * so that no bytes are lost or duplicated.
  */
 export class ExchangeReader {
   #options: Options;
   #offset = 0;
   #version: string | undefined;
-  #failures = 0;
+  #consecutiveFailures = 0;
 
   constructor(options: Options) {
     this.#options = options;
   }
 
+  /**
+   * Yields the answer's parts up to "end", "refused" or "broken". Stops without
+   * any of these if the signal is aborted.
+   */
   async *read(): AsyncGenerator<AnswerPart> {
     while (!this.#options.signal.aborted) {
       try {
         for await (const frame of this.#connect()) {
-          const part = this.#take(frame);
+          const part = this.#toAnswerPart(frame);
           if (part === undefined) continue;
           yield part;
           if (part.kind !== "start" && part.kind !== "data") return;
         }
       } catch {
-        // Told apart below: what broke is the connection, not the answer.
+        // The connection broke, not the answer: the loop reconnects.
       }
-      this.#failures += 1;
-      if (this.#failures > MOST_FAILED_CONNECTIONS) {
+      this.#consecutiveFailures += 1;
+      if (this.#consecutiveFailures > MAX_CONSECUTIVE_FAILURES) {
         yield { kind: "broken", reason: "agent-unreachable" };
         return;
       }
       this.#options.clients.renew(this.#options.address);
-      await pause(RECONNECT_MILLISECONDS);
+      await pause(RECONNECT_DELAY_MILLISECONDS);
     }
   }
 
   async *#connect(): AsyncGenerator<AnswerFrame> {
     const { clients, address, request, signal, attachOnly } = this.#options;
     const client = clients.client(CallService, address);
-    const silence = new AbortController();
-    const options = { signal: AbortSignal.any([signal, silence.signal]) };
-    const giveUp = () => silence.abort();
-    let timer = setTimeout(giveUp, SILENT_MILLISECONDS);
+    const silenceController = new AbortController();
+    const options = {
+      signal: AbortSignal.any([signal, silenceController.signal]),
+    };
+    const abortConnection = () => silenceController.abort();
+    let timer = setTimeout(abortConnection, SILENCE_TIMEOUT_MILLISECONDS);
     const frames = attachOnly || this.#version !== undefined
       ? client.attach({
         requestId: request.requestId,
@@ -76,40 +83,41 @@
       for await (const frame of frames) {
         clearTimeout(timer);
         yield frame;
-        timer = setTimeout(giveUp, SILENT_MILLISECONDS);
+        timer = setTimeout(abortConnection, SILENCE_TIMEOUT_MILLISECONDS);
       }
     } finally {
       clearTimeout(timer);
     }
   }
 
-  #take(frame: AnswerFrame): AnswerPart | undefined {
+  /** Undefined for heartbeats and for a start that was read before. */
+  #toAnswerPart(frame: AnswerFrame): AnswerPart | undefined {
     const { body } = frame;
     switch (body.case) {
       case "start": {
         const { status, contentType, version } = body.value;
         if (this.#version === version) return undefined;
-        if (this.#version !== undefined) return broken("version-moved");
+        if (this.#version !== undefined) return brokenPart("version-moved");
         this.#version = version;
         return { kind: "start", status, contentType, version };
       }
       case "data":
         this.#offset += body.value.length;
-        this.#failures = 0;
+        this.#consecutiveFailures = 0;
         return { kind: "data", bytes: body.value };
       case "end":
         return body.value.totalBytes === this.#offset
           ? { kind: "end" }
-          : broken("length-differs");
+          : brokenPart("length-differs");
       case "refused":
-        return refusalOf(body.value);
+        return toRefusedPart(body.value);
       default:
         return undefined;
     }
   }
 }
 
-function broken(reason: string): AnswerPart {
+function brokenPart(reason: string): AnswerPart {
   return { kind: "broken", reason };
 }
 
@@ -120,7 +128,7 @@
   [CallOutcome.UNKNOWN]: "unknown",
 } as const;
 
-function refusalOf(refused: AnswerRefused): AnswerPart {
+function toRefusedPart(refused: AnswerRefused): AnswerPart {
   return {
     kind: "refused",
     outcome: OUTCOMES[refused.outcome],
--- a/packages/daemon/src/entry/calls/invalid_request.ts
+++ b/packages/daemon/src/entry/calls/invalid_request.ts
@@ -1,6 +1,6 @@
 import type { Problem } from "../../http/problem.ts";
 
-/** An operator's request that names a field that can't be so. */
+/** The problem for an operator's request with an invalid field. */
 export function invalidRequest(field: string, detail: string): Problem {
   return {
     status: 400,
--- a/packages/daemon/src/entry/calls/recorded_outcome.ts
+++ b/packages/daemon/src/entry/calls/outcome_from_claim.ts
@@ -3,8 +3,8 @@
 import { callProblems } from "./call_problems.ts";
 import type { UnrepeatableOutcome } from "./unrepeatable_outcome.ts";
 
-/** What the log holds of a claim, as the caller hears it. */
-export function recordedOutcome(claim: ClaimRow): UnrepeatableOutcome {
+/** Converts a claim that the log has settled into the call's outcome. */
+export function outcomeFromClaim(claim: ClaimRow): UnrepeatableOutcome {
   if (claim.state === "unknown") {
     return {
       kind: "failed",
--- a/packages/daemon/src/entry/calls/repeatable_call.ts
+++ b/packages/daemon/src/entry/calls/repeatable_call.ts
@@ -16,8 +16,8 @@
 import { ExchangeReader } from "./exchange_reader.ts";
 import type { Problem } from "../../http/problem.ts";
 
-const PREFIX_BYTES = 256;
-const SERVER_ERROR = 500;
+const ROUTING_PREFIX_BYTES = 256;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 type Services = {
   state: () => ControlState;
@@ -32,15 +32,18 @@
 
 type Attempt =
   | { kind: "answered" }
-  | { kind: "failed"; mayMove: boolean; problem: Problem };
+  | { kind: "failed"; canRetry: boolean; problem: Problem };
 
-/** One call that may be repeated: it can move until its answer has begun. */
+/**
+ * Runs one call that may be repeated. A failed attempt is retried on another
+ * backend server as long as no part of the answer has been sent to the caller.
+ */
 export class RepeatableCall {
   #services: Services;
   #call: CheckedCall;
   #response: ServerResponse;
-  #given = new AbortController();
-  #tried = new Set<string>();
+  #aborter = new AbortController();
+  #triedBackendServers = new Set<string>();
 
   constructor(services: Services, call: CheckedCall, response: ServerResponse) {
     this.#services = services;
@@ -48,43 +51,43 @@
     this.#response = response;
   }
 
-  /** Answers the caller, or says why there is no whole answer. */
+  /** Answers the caller, or returns why there is no complete answer. */
   async run(): Promise<Problem | undefined> {
-    const leave = () => this.#given.abort("caller-left");
+    const abortOnClose = () => this.#aborter.abort("caller-left");
     const timer = setTimeout(
-      () => this.#given.abort("deadline"),
-      this.#remaining(),
+      () => this.#aborter.abort("deadline"),
+      this.#remainingMilliseconds(),
     );
-    this.#response.once("close", leave);
+    this.#response.once("close", abortOnClose);
     this.#services.retries.countCall();
     try {
       return await this.#tryUntilAnswered();
     } finally {
       clearTimeout(timer);
-      this.#response.off("close", leave);
+      this.#response.off("close", abortOnClose);
     }
   }
 
   async #tryUntilAnswered(): Promise<Problem | undefined> {
-    let last: Problem | undefined;
+    let lastProblem: Problem | undefined;
     while (true) {
       const decision = this.#services.router.route(this.#services.state(), {
         service: this.#call.service,
-        prefix: this.#call.body.toString("latin1", 0, PREFIX_BYTES),
-        deadlineMilliseconds: this.#remaining(),
-        tried: this.#tried,
+        prefix: this.#call.body.toString("latin1", 0, ROUTING_PREFIX_BYTES),
+        deadlineMilliseconds: this.#remainingMilliseconds(),
+        tried: this.#triedBackendServers,
         now: Date.now(),
       });
-      if (decision.kind === "refuse") return last ?? refusalProblem(decision);
+      if (decision.kind === "refuse") return lastProblem ?? toProblem(decision);
       const attempt = await this.#attempt(decision.to);
       if (attempt.kind === "answered") return undefined;
-      last = afterEarlier(last, attempt.problem);
-      this.#tried.add(decision.to.backendServer);
-      if (!attempt.mayMove || this.#given.signal.aborted) return last;
+      lastProblem = keepEarlierOutcome(lastProblem, attempt.problem);
+      this.#triedBackendServers.add(decision.to.backendServer);
+      if (!attempt.canRetry || this.#aborter.signal.aborted) return lastProblem;
       const { crashes } = this.#services;
-      if (!crashes.maySendAgain(this.#call)) return last;
-      if (crashes.refusal(this.#call) !== undefined) return last;
-      if (!this.#services.retries.tryRetry()) return last;
+      if (!crashes.mayRetry(this.#call)) return lastProblem;
+      if (crashes.refusal(this.#call) !== undefined) return lastProblem;
+      if (!this.#services.retries.tryRetry()) return lastProblem;
     }
   }
 
@@ -95,38 +98,40 @@
       path: this.#call.path,
       body: this.#call.body,
       contentType: this.#call.contentType,
-      deadlineMilliseconds: this.#remaining(),
+      deadlineMilliseconds: this.#remainingMilliseconds(),
       priority: this.#call.priority,
     });
     const reader = new ExchangeReader({
       clients: this.#services.clients,
       address: row.internalAddress,
       request,
-      signal: this.#given.signal,
+      signal: this.#aborter.signal,
       attachOnly: false,
     });
     row.ownInFlight += 1;
     try {
-      const attempt = await this.#pass(reader, row);
-      if (this.#given.signal.aborted) this.#cancel(row, request.requestId);
+      const attempt = await this.#relayAnswer(reader, row);
+      if (this.#aborter.signal.aborted) this.#cancel(row, request.requestId);
       return attempt;
     } finally {
       row.ownInFlight -= 1;
     }
   }
 
-  async #pass(
+  async #relayAnswer(
     reader: ExchangeReader,
     row: BackendServerRow,
   ): Promise<Attempt> {
     const response = this.#response;
     const { crashes } = this.#services;
-    // An agent names an end only to calls that its backend server had.
+    // The time of sending, then the time at which the answer starts. A call
+    // counts as begun from its sending, as an agent reports an ended
+    // incarnation only for calls that its backend server had received.
     let begunAt = monotonicMilliseconds();
     for await (const part of reader.read()) {
       switch (part.kind) {
         case "start":
-          if (part.status >= SERVER_ERROR) {
+          if (part.status >= MIN_SERVER_ERROR_STATUS) {
             return this.#fail(row, "backend-server-error", "ran");
           }
           begunAt = monotonicMilliseconds();
@@ -137,35 +142,35 @@
           }
           break;
         case "data":
-          if (!response.write(part.bytes)) await this.#untilDrained();
+          if (!response.write(part.bytes)) await this.#waitForDrain();
           break;
         case "end":
           response.end();
           this.#services.outliers.recordSuccess(row);
-          crashes.noteGoodEnd(this.#call);
+          crashes.recordCompletion(this.#call);
           return { kind: "answered" };
         case "refused":
           if (part.endedIncarnation !== "") {
-            crashes.noteEnd(this.#call, part.endedIncarnation, begunAt);
+            crashes.recordCrash(this.#call, part.endedIncarnation, begunAt);
           }
-          return this.#refused(part);
+          return this.#failRefused(part);
         case "broken":
           return this.#fail(row, part.reason, "unknown");
       }
     }
-    return this.#givenUp();
+    return this.#failAborted();
   }
 
-  async #untilDrained(): Promise<void> {
-    await once(this.#response, "drain", { signal: this.#given.signal })
+  async #waitForDrain(): Promise<void> {
+    await once(this.#response, "drain", { signal: this.#aborter.signal })
       .catch(() => undefined);
   }
 
-  /** The agent gives no whole answer, and says whether the call has run. */
-  #refused({ reason, outcome, retryAfterMilliseconds }: Refused): Attempt {
+  /** The agent sent no complete answer, but reported whether the call ran. */
+  #failRefused({ reason, outcome, retryAfterMilliseconds }: Refused): Attempt {
     return {
       kind: "failed",
-      mayMove: !this.#response.headersSent,
+      canRetry: !this.#response.headersSent,
       problem: {
         status: outcome === "not-run" ? 503 : 502,
         type: reason,
@@ -176,6 +181,7 @@
     };
   }
 
+  /** Counts a failure against the backend server. */
   #fail(
     row: BackendServerRow,
     reason: string,
@@ -184,7 +190,7 @@
     this.#services.outliers.recordFailure(row, Date.now());
     return {
       kind: "failed",
-      mayMove: !this.#response.headersSent,
+      canRetry: !this.#response.headersSent,
       problem: {
         status: 502,
         type: reason,
@@ -195,10 +201,11 @@
     };
   }
 
-  #givenUp(): Attempt {
+  /** Called if the deadline has passed or the caller has disconnected. */
+  #failAborted(): Attempt {
     return {
       kind: "failed",
-      mayMove: false,
+      canRetry: false,
       problem: {
         status: 504,
         type: "deadline-exceeded",
@@ -215,22 +222,28 @@
       .catch(() => undefined);
   }
 
-  #remaining(): number {
+  #remainingMilliseconds(): number {
     const { deadlineMilliseconds, receivedAt } = this.#call;
     return Math.max(1, receivedAt + deadlineMilliseconds - Date.now());
   }
 }
 
-/** What an earlier backend server had begun is not undone by a refusal. */
-function afterEarlier(earlier: Problem | undefined, problem: Problem): Problem {
-  const isPromise = problem.outcome === "not-run";
-  if (!isPromise || earlier === undefined || earlier.outcome === "not-run") {
+/**
+ * Keeps the outcome of an earlier attempt if the later one reports "not-run":
+ * the earlier backend server may have run the call.
+ */
+function keepEarlierOutcome(
+  earlier: Problem | undefined,
+  problem: Problem,
+): Problem {
+  const isNotRun = problem.outcome === "not-run";
+  if (!isNotRun || earlier === undefined || earlier.outcome === "not-run") {
     return problem;
   }
   return { ...problem, status: 502, outcome: earlier.outcome };
 }
 
-function refusalProblem(
+function toProblem(
   refusal: { reason: string; retryAfterMilliseconds: number },
 ): Problem {
   return {
--- a/packages/daemon/src/entry/calls/unrepeatable_answer.ts
+++ b/packages/daemon/src/entry/calls/unrepeatable_answer.ts
@@ -1,6 +1,6 @@
 import type { Buffer } from "node:buffer";
 
-/** The answer of a call that may not be repeated, as the log keeps it. */
+/** The answer of a call that may not be repeated, as stored in the log. */
 export type UnrepeatableAnswer = {
   status: number;
   contentType: string;
--- a/packages/daemon/src/entry/calls/unrepeatable_call.ts
+++ b/packages/daemon/src/entry/calls/unrepeatable_call.ts
@@ -18,13 +18,13 @@
 import { ExchangeReader } from "./exchange_reader.ts";
 import type { Problem } from "../../http/problem.ts";
 import type { Proposer } from "../sessions/proposer.ts";
-import { recordedOutcome } from "./recorded_outcome.ts";
+import { outcomeFromClaim } from "./outcome_from_claim.ts";
 import type { UnrepeatableAnswer } from "./unrepeatable_answer.ts";
 import type { UnrepeatableOutcome } from "./unrepeatable_outcome.ts";
 
-const MOST_CLAIMS = 4;
-const SETTLE_MILLISECONDS = 2_000;
-const MOST_KEPT_BYTES = 65_536;
+const MAX_CLAIM_ATTEMPTS = 4;
+const SETTLE_TIMEOUT_MILLISECONDS = 2_000;
+const MAX_RECORDED_ANSWER_BYTES = 65_536;
 
 type Services = {
   control: Proposer;
@@ -35,16 +35,16 @@
 };
 
 /**
- * One call that may not be repeated. It is claimed in the replicated log for
- * one agent process before it leaves, and its outcome is recorded there
- * before the caller sees it. "Not run" is said only when nothing was claimed
- * or the agent has confirmed that it never will run.
+ * Runs one call that may not be repeated. The call is claimed in the replicated
+ * log for one agent process before it is sent, and its outcome is recorded in
+ * the log before the caller receives it. "not-run" is reported only if nothing
+ * was claimed, or if the agent has confirmed that the call never will run.
  */
 export class UnrepeatableCall {
   #services: Services;
   #call: CheckedCall;
   #bodyDigest: string;
-  #given = new AbortController();
+  #aborter = new AbortController();
 
   constructor(services: Services, call: CheckedCall) {
     this.#services = services;
@@ -54,7 +54,10 @@
   }
 
   async run(): Promise<UnrepeatableOutcome> {
-    const timer = setTimeout(() => this.#given.abort(), this.#remaining());
+    const timer = setTimeout(
+      () => this.#aborter.abort(),
+      this.#remainingMilliseconds(),
+    );
     try {
       return await this.#claimAndRun();
     } finally {
@@ -63,13 +66,13 @@
   }
 
   async #claimAndRun(): Promise<UnrepeatableOutcome> {
-    let outcome: UnrepeatableOutcome = failed(
+    let outcome: UnrepeatableOutcome = createFailedOutcome(
       callProblems.notRun("overloaded", 1_000),
     );
-    for (let claims = 0; claims < MOST_CLAIMS; claims += 1) {
+    for (let attempt = 0; attempt < MAX_CLAIM_ATTEMPTS; attempt += 1) {
       outcome = await this.#claimOnce();
       if (outcome.kind !== "not-run") return outcome;
-      if (this.#given.signal.aborted) return outcome;
+      if (this.#aborter.signal.aborted) return outcome;
     }
     return outcome;
   }
@@ -79,12 +82,12 @@
     const decision = router.route(control.state, {
       service: this.#call.service,
       prefix: "",
-      deadlineMilliseconds: this.#remaining(),
+      deadlineMilliseconds: this.#remainingMilliseconds(),
       tried: new Set(),
       now: Date.now(),
     });
     if (decision.kind === "refuse") {
-      return failed(
+      return createFailedOutcome(
         callProblems.notRun(decision.reason, decision.retryAfterMilliseconds),
       );
     }
@@ -100,23 +103,24 @@
       incarnation: row.incarnation,
       requestId,
       at: 0,
-    }, this.#remaining());
+    }, this.#remainingMilliseconds());
     if (reply.kind === "not-proposed") {
-      return failed(callProblems.notRun("no-leader", 1_000));
+      return createFailedOutcome(callProblems.notRun("no-leader", 1_000));
     }
     if (reply.kind === "unknown") {
-      return failed(callProblems.unknown("claim-not-confirmed"));
+      return createFailedOutcome(callProblems.unknown("claim-not-confirmed"));
     }
     const { accepted, reason, value } = reply.answer;
     const claim = value as ClaimRow;
-    // A claim that had to be proposed twice meets itself.
+    // A claim that was proposed twice is refused the second time because of its
+    // own first copy.
     if (accepted || claim.requestId === requestId) {
       return this.#runClaimed(claim, row);
     }
     if (reason === "key-used-for-another-call") {
-      return failed(callProblems.keyReused());
+      return createFailedOutcome(callProblems.keyReused());
     }
-    return this.#resolveStanding(claim);
+    return this.#resolveExistingClaim(claim);
   }
 
   async #runClaimed(
@@ -125,13 +129,13 @@
   ): Promise<UnrepeatableOutcome> {
     row.ownInFlight += 1;
     try {
-      return await this.#read(claim, row, false);
+      return await this.#readAnswer(claim, row, false);
     } finally {
       row.ownInFlight -= 1;
     }
   }
 
-  async #read(
+  async #readAnswer(
     claim: ClaimRow,
     row: BackendServerRow,
     attachOnly: boolean,
@@ -139,8 +143,8 @@
     const reader = new ExchangeReader({
       clients: this.#services.clients,
       address: row.internalAddress,
-      request: this.#request(claim),
-      signal: this.#given.signal,
+      request: this.#createRunRequest(claim),
+      signal: this.#aborter.signal,
       attachOnly,
     });
     const begunAt = monotonicMilliseconds();
@@ -155,15 +159,18 @@
           parts.push(part.bytes);
           break;
         case "end":
-          this.#services.crashes.noteGoodEnd(this.#call);
-          return this.#record(claim, { ...head, body: Buffer.concat(parts) });
+          this.#services.crashes.recordCompletion(this.#call);
+          return this.#recordAnswer(claim, {
+            ...head,
+            body: Buffer.concat(parts),
+          });
         case "refused":
           if (part.endedIncarnation !== "") {
             const { crashes } = this.#services;
-            crashes.noteEnd(this.#call, part.endedIncarnation, begunAt);
+            crashes.recordCrash(this.#call, part.endedIncarnation, begunAt);
           }
           if (part.outcome === "not-run") {
-            return this.#cancel(
+            return this.#cancelClaim(
               claim,
               part.reason,
               part.retryAfterMilliseconds,
@@ -171,42 +178,51 @@
           }
           return this.#recordUnknown(claim, part.reason);
         case "broken":
-          return this.#resolveStanding(claim);
+          return this.#resolveExistingClaim(claim);
       }
     }
-    return failed(callProblems.unknown("deadline-exceeded"));
+    return createFailedOutcome(callProblems.unknown("deadline-exceeded"));
   }
 
-  /** The key stands already, or its answer was lost on the way. */
-  async #resolveStanding(claim: ClaimRow): Promise<UnrepeatableOutcome> {
-    if (claim.state !== "claimed") return recordedOutcome(claim);
+  /**
+   * Called if the key was claimed before, or if the answer could not be read.
+   * Returns the recorded outcome. Without one, asks the agent whether the call
+   * has arrived there, and then either reads its answer or cancels the claim.
+   */
+  async #resolveExistingClaim(claim: ClaimRow): Promise<UnrepeatableOutcome> {
+    if (claim.state !== "claimed") return outcomeFromClaim(claim);
     const row = this.#services.table.get(claim.backendServer);
     if (row === undefined) {
-      return failed(callProblems.unknown("backend-server-unreachable"));
+      return createFailedOutcome(
+        callProblems.unknown("backend-server-unreachable"),
+      );
     }
     if (row.incarnation !== claim.incarnation) {
-      // The process that alone knew is gone; what it did can't be learned.
+      // Only the claiming agent process knew whether the call ran, and it is
+      // gone.
       return this.#recordUnknown(claim, "backend-server-restarted");
     }
     const settled = await this.#services.clients
       .client(CallService, row.internalAddress)
       .settleClaim({
-        claimKey: claimKeyOf(claim),
+        claimKey: formatClaimKey(claim),
         claimIndex: claim.claimIndex,
-      }, { timeoutMs: SETTLE_MILLISECONDS })
+      }, { timeoutMs: SETTLE_TIMEOUT_MILLISECONDS })
       .catch(() => undefined);
     if (settled === undefined || settled.incarnation !== claim.incarnation) {
-      return failed(callProblems.unknown("backend-server-unreachable"));
+      return createFailedOutcome(
+        callProblems.unknown("backend-server-unreachable"),
+      );
     }
-    if (settled.tombstoned) return this.#cancel(claim, "never-run", 100);
-    return this.#read(claim, row, true);
+    if (settled.tombstoned) return this.#cancelClaim(claim, "never-run", 100);
+    return this.#readAnswer(claim, row, true);
   }
 
-  async #record(
+  async #recordAnswer(
     claim: ClaimRow,
     answer: UnrepeatableAnswer,
   ): Promise<UnrepeatableOutcome> {
-    const kept = answer.body.length <= MOST_KEPT_BYTES;
+    const isStored = answer.body.length <= MAX_RECORDED_ANSWER_BYTES;
     const reply = await this.#services.control.propose({
       kind: "settle-claim",
       workspace: claim.workspace,
@@ -214,14 +230,14 @@
       claimIndex: claim.claimIndex,
       outcome: "ran",
       status: answer.status,
-      contentType: kept ? answer.contentType : "",
-      answer: kept ? answer.body.toString("base64") : "",
-    }, this.#remaining());
+      contentType: isStored ? answer.contentType : "",
+      answer: isStored ? answer.body.toString("base64") : "",
+    }, this.#remainingMilliseconds());
     if (reply.kind !== "committed") {
-      return failed(callProblems.unknown("outcome-not-recorded"));
+      return createFailedOutcome(callProblems.unknown("outcome-not-recorded"));
     }
-    if (!kept && reply.answer.accepted) return { kind: "answered", answer };
-    return recordedOutcome(reply.answer.value as ClaimRow);
+    if (!isStored && reply.answer.accepted) return { kind: "answered", answer };
+    return outcomeFromClaim(reply.answer.value as ClaimRow);
   }
 
   async #recordUnknown(
@@ -237,14 +253,14 @@
       status: 0,
       contentType: "",
       answer: "",
-    }, this.#remaining());
+    }, this.#remainingMilliseconds());
     if (reply.kind === "committed" && reply.answer.accepted) {
-      return recordedOutcome(reply.answer.value as ClaimRow);
+      return outcomeFromClaim(reply.answer.value as ClaimRow);
     }
-    return failed(callProblems.unknown(reason));
+    return createFailedOutcome(callProblems.unknown(reason));
   }
 
-  async #cancel(
+  async #cancelClaim(
     claim: ClaimRow,
     reason: string,
     retryAfterMilliseconds: number,
@@ -254,13 +270,13 @@
       workspace: claim.workspace,
       key: claim.key,
       claimIndex: claim.claimIndex,
-    }, Math.max(this.#remaining(), SETTLE_MILLISECONDS));
+    }, Math.max(this.#remainingMilliseconds(), SETTLE_TIMEOUT_MILLISECONDS));
     if (reply.kind !== "committed") {
-      return failed(callProblems.unknown("outcome-not-recorded"));
+      return createFailedOutcome(callProblems.unknown("outcome-not-recorded"));
     }
     const { accepted, value } = reply.answer;
     if (!accepted && value !== undefined) {
-      return this.#resolveStanding(value as ClaimRow);
+      return this.#resolveExistingClaim(value as ClaimRow);
     }
     return {
       kind: "not-run",
@@ -268,31 +284,31 @@
     };
   }
 
-  #request(claim: ClaimRow): RunRequest {
+  #createRunRequest(claim: ClaimRow): RunRequest {
     return create(RunRequestSchema, {
       requestId: claim.requestId,
       workspace: this.#call.workspace,
       path: this.#call.path,
       body: this.#call.body,
       contentType: this.#call.contentType,
-      deadlineMilliseconds: this.#remaining(),
+      deadlineMilliseconds: this.#remainingMilliseconds(),
       priority: this.#call.priority,
-      claimKey: claimKeyOf(claim),
+      claimKey: formatClaimKey(claim),
       claimIncarnation: claim.incarnation,
       claimIndex: claim.claimIndex,
     });
   }
 
-  #remaining(): number {
+  #remainingMilliseconds(): number {
     const { deadlineMilliseconds, receivedAt } = this.#call;
     return Math.max(1, receivedAt + deadlineMilliseconds - Date.now());
   }
 }
 
-function claimKeyOf(claim: ClaimRow): string {
+function formatClaimKey(claim: ClaimRow): string {
   return `${claim.workspace}\n${claim.key}`;
 }
 
-function failed(problem: Problem): UnrepeatableOutcome {
+function createFailedOutcome(problem: Problem): UnrepeatableOutcome {
   return { kind: "failed", problem };
 }
--- a/packages/daemon/src/entry/calls/unrepeatable_outcome.ts
+++ b/packages/daemon/src/entry/calls/unrepeatable_outcome.ts
@@ -1,9 +1,9 @@
 import type { Problem } from "../../http/problem.ts";
 import type { UnrepeatableAnswer } from "./unrepeatable_answer.ts";
 
-/** What is known of a call that may not be repeated. */
+/** The outcome of a call that may not be repeated, as far as known. */
 export type UnrepeatableOutcome =
   | { kind: "answered"; answer: UnrepeatableAnswer }
   | { kind: "failed"; problem: Problem }
-  /** It surely did not run: it may be claimed anew. */
+  /** The call certainly did not run, so it may be claimed again. */
   | { kind: "not-run"; problem: Problem };
--- a/packages/daemon/src/entry/entry_app.ts
+++ b/packages/daemon/src/entry/entry_app.ts
@@ -23,7 +23,7 @@
 import { CallCrashes } from "./calls/call_crashes.ts";
 import { CallHandler } from "./calls/call_handler.ts";
 import { ControlSession } from "./sessions/control_session.ts";
-import type { EntryWorld } from "./entry_world.ts";
+import type { EntryContext } from "./entry_context.ts";
 import { LimitsRegistry } from "./sessions/limits_registry.ts";
 import { OperatorApi } from "./operators/operator_api.ts";
 import { PermitQueue } from "./sessions/permit_queue.ts";
@@ -33,21 +33,27 @@
 import { readStatus } from "./operators/read_status.ts";
 import { readTimeline } from "./operators/read_timeline.ts";
 import { sendProblem } from "../http/send_problem.ts";
-import { withoutPromise } from "./calls/without_promise.ts";
+import { maskUnverifiedNotRun } from "./calls/mask_unverified_not_run.ts";
 
-const REGISTER_MILLISECONDS = 1_000;
-const POLL_MILLISECONDS = 25;
-const GOODBYE_MILLISECONDS = 1_000;
-const MOST_QUIET_MILLISECONDS = 10_000;
-/** Longer than any grant that was made before this host had a floor. */
-const SETTLING_MILLISECONDS = 1_600;
+/** A quarter of this is the delay between attempts to register. */
+const REGISTRATION_RETRY_BASE_MILLISECONDS = 1_000;
+const DRAIN_POLL_MILLISECONDS = 25;
+const DEREGISTRATION_TIMEOUT_MILLISECONDS = 1_000;
+/** Longest wait during shutdown for a pause between requests. */
+const MAX_QUIET_WAIT_MILLISECONDS = 10_000;
+/**
+ * Time after registration during which this host answers calls with 503. Longer
+ * than any grant that was made before the leader reserved a guaranteed share
+ * (floor) for this host.
+ */
+const WARMUP_MILLISECONDS = 1_600;
 
-const STARTING: Problem = {
+const STARTING_PROBLEM: Problem = {
   status: 503,
   type: "starting",
   detail: "this entry host has just started and has no shares yet",
   outcome: "not-run",
-  retryAfterMilliseconds: SETTLING_MILLISECONDS,
+  retryAfterMilliseconds: WARMUP_MILLISECONDS,
 };
 
 type Options = {
@@ -57,15 +63,18 @@
   metrics: StatsD;
 };
 
-/** An entry host: callers, operators and agents meet here. */
+/**
+ * The entry role of a host: serves callers and operators on the public port and
+ * agents on the internal one.
+ */
 export class EntryApp {
   #options: Options;
-  #world: EntryWorld;
+  #context: EntryContext;
   #coordinator: SpreadCoordinator;
   #permits: PermitQueue;
   #calls: CallHandler;
   #server: PublicServer;
-  #owners = new Map<string, AgentSession>();
+  #newestSessions = new Map<string, AgentSession>();
   #incarnation = randomUUID();
   #registeredAt = Infinity;
   #stopping = false;
@@ -78,7 +87,7 @@
     const table = new BackendServerTable();
     const outliers = new OutlierDetector();
     const control = new ControlSession({
-      hello: this.#hello(),
+      hello: this.#createHello(),
       controlHosts: entry.control_hosts,
       clients,
       log,
@@ -89,7 +98,7 @@
       dataCentre: settings.data_centre,
       crossingMilliseconds: entry.crossing_milliseconds,
     });
-    this.#world = {
+    this.#context = {
       control,
       table,
       outliers,
@@ -110,26 +119,32 @@
     });
     this.#permits = new PermitQueue(control);
     const idleMilliseconds = entry.request_idle_milliseconds;
-    this.#calls = new CallHandler(this.#world, { idleMilliseconds, metrics });
+    this.#calls = new CallHandler(this.#context, {
+      idleMilliseconds,
+      metrics,
+    });
     const operators = new OperatorApi({
       control,
       clients,
       idleMilliseconds,
-      readStatus: () => readStatus(settings, this.#world),
+      readStatus: () => readStatus(settings, this.#context),
       readTimeline: (since) =>
-        readTimeline({ settings, world: this.#world, ring: log.ring }, since),
+        readTimeline(
+          { settings, context: this.#context, ring: log.ring },
+          since,
+        ),
     });
     this.#server = new PublicServer({
       idleMilliseconds,
       isReady: () => this.#isReady(),
-      handleCall: (request, response) => this.#takeCall(request, response),
+      handleCall: (request, response) => this.#handleCall(request, response),
       handleOperator: (request, response) =>
         operators.handle(request, response),
-      onFault: (error) => log.error("call-fault", { error }),
+      onError: (error) => log.error("call-fault", { error }),
     });
-    control.changed$.subscribe((state) => this.#follow(state));
+    control.changed$.subscribe((state) => this.#applyState(state));
     control.allotted$.subscribe(({ allotment, sentAt }) =>
-      limits.allot(allotment, sentAt, Date.now())
+      limits.setAllotments(allotment, sentAt, Date.now())
     );
   }
 
@@ -140,16 +155,16 @@
         const session = new AgentSession({
           host: settings.name,
           dataCentre: settings.data_centre,
-          control: this.#world.control,
-          table: this.#world.table,
+          control: this.#context.control,
+          table: this.#context.table,
           coordinator: this.#coordinator,
           permits: this.#permits,
           log,
-          owners: this.#owners,
+          newestSessions: this.#newestSessions,
         });
         const outgoing = toAsyncIterable(session.outgoing$);
         const reading = (async () => {
-          for await (const message of messages) session.take(message);
+          for await (const message of messages) session.handleMessage(message);
         })();
         reading.catch(() => undefined).finally(() => session.close());
         return outgoing;
@@ -161,66 +176,77 @@
     const address = this.#options.settings.entry!.listen;
     const listening = await this.#server.listen(address);
     if (listening.isErr) return listening;
-    this.#world.control.start();
+    this.#context.control.start();
     this.#register();
     return Result.ok(undefined);
   }
 
   /**
-   * `/ready` answers 503 from the first moment; listening ends only when the
-   * balancer has had time to see it, the process when every call is answered.
+   * Shuts down gracefully. `/ready` answers 503 at once. The host stops
+   * listening only after the load balancer has had time to see that, and
+   * returns only after every call has been answered.
    */
   async stop(): Promise<void> {
     this.#stopping = true;
     await pause(this.#options.settings.entry!.drain_milliseconds);
     this.#server.stopListening();
-    await this.#untilDone();
+    await this.#waitUntilDrained();
     this.#server.close();
-    await this.#sayStopped();
-    this.#world.control.stop();
+    await this.#deregister();
+    this.#context.control.stop();
     this.#coordinator.stop();
     this.#permits.stop();
-    this.#world.crashes.stop();
-    for (const session of this.#owners.values()) session.close();
+    this.#context.crashes.stop();
+    for (const session of this.#newestSessions.values()) session.close();
   }
 
-  /** Callers that never pause on kept connections are not waited for. */
-  async #untilDone(): Promise<void> {
-    const until = Date.now() + MOST_QUIET_MILLISECONDS;
-    while (!this.#server.isQuiet(Date.now()) && Date.now() < until) {
-      await pause(POLL_MILLISECONDS);
+  /**
+   * Waits until no requests arrive, then until the calls in progress are done.
+   * The first wait ends after MAX_QUIET_WAIT_MILLISECONDS, as some callers
+   * never pause on their keep-alive connections.
+   */
+  async #waitUntilDrained(): Promise<void> {
+    const until = Date.now() + MAX_QUIET_WAIT_MILLISECONDS;
+    while (!this.#server.hasNoRecentRequest(Date.now()) && Date.now() < until) {
+      await pause(DRAIN_POLL_MILLISECONDS);
     }
-    while (this.#calls.inProgress > 0) await pause(POLL_MILLISECONDS);
+    while (this.#calls.inProgress > 0) await pause(DRAIN_POLL_MILLISECONDS);
   }
 
-  /** Or a leader would wait for the lease of a host that is gone. */
-  async #sayStopped(): Promise<void> {
-    await this.#world.control.propose({
+  /**
+   * Tells the leader that this host has stopped. Otherwise the leader would
+   * wait for the lease of a host that is gone.
+   */
+  async #deregister(): Promise<void> {
+    await this.#context.control.propose({
       kind: "register-entry",
-      ...this.#hello(),
+      ...this.#createHello(),
       stopped: true,
-    }, GOODBYE_MILLISECONDS);
+    }, DEREGISTRATION_TIMEOUT_MILLISECONDS);
   }
 
   #isReady(): boolean {
-    return this.#isSettled() && !this.#stopping;
+    return this.#isWarmedUp() && !this.#stopping;
   }
 
-  #isSettled(): boolean {
-    return Date.now() - this.#registeredAt > SETTLING_MILLISECONDS;
+  #isWarmedUp(): boolean {
+    return Date.now() - this.#registeredAt > WARMUP_MILLISECONDS;
   }
 
-  /** A balancer may send calls before it has asked whether this is ready. */
-  async #takeCall(
+  /**
+   * Refuses calls until this host has warmed up: a load balancer may send calls
+   * before it has queried `/ready`.
+   */
+  async #handleCall(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    if (this.#isSettled()) return await this.#calls.handle(request, response);
+    if (this.#isWarmedUp()) return await this.#calls.handle(request, response);
     response.setHeader("Connection", "close");
-    sendProblem(response, withoutPromise(request, STARTING));
+    sendProblem(response, maskUnverifiedNotRun(request, STARTING_PROBLEM));
   }
 
-  #hello() {
+  #createHello() {
     const { settings } = this.#options;
     return {
       host: settings.name,
@@ -232,33 +258,38 @@
   }
 
   /**
-   * A host that was never registered has no floor of its own yet: until the
-   * grants made without it have run out, it must let nothing through.
+   * Registers this host with the leader. Retries until that succeeds or the
+   * replicated tables show an earlier registration. A host that was never
+   * registered has no guaranteed share (floor) yet. Until the grants that were
+   * made without it have expired, it must admit no calls.
    */
   async #register(): Promise<void> {
-    const { control } = this.#world;
+    const { control } = this.#context;
     while (!this.#stopping) {
       const reply = await control.propose({
         kind: "register-entry",
-        ...this.#hello(),
+        ...this.#createHello(),
         stopped: false,
       });
-      if (reply.kind === "committed" || this.#isKnown()) break;
-      await pause(REGISTER_MILLISECONDS / 4);
+      if (reply.kind === "committed" || this.#isRegistered()) break;
+      await pause(REGISTRATION_RETRY_BASE_MILLISECONDS / 4);
     }
     this.#registeredAt = Date.now();
     this.#options.log.info("entry-registered");
   }
 
-  /** Cut off, but registered before: it goes on with its floors. */
-  #isKnown(): boolean {
-    const { state } = this.#world.control;
+  /**
+   * Whether the replicated tables list this host. If so, it was registered
+   * before and may use its guaranteed shares even when cut off from the leader.
+   */
+  #isRegistered(): boolean {
+    const { state } = this.#context.control;
     return state.entryHosts.has(this.#options.settings.name);
   }
 
-  #follow(state: ControlState): void {
-    this.#world.limits.follow(state, Date.now());
-    this.#world.crashes.follow(state);
+  #applyState(state: ControlState): void {
+    this.#context.limits.updateContracts(state, Date.now());
+    this.#context.crashes.follow(state);
     const versions = new Set<string>();
     for (const weights of state.weights.values()) {
       versions.add(versionName(weights.manifest));
--- a/packages/daemon/src/entry/entry_world.ts
+++ b/packages/daemon/src/entry/entry_context.ts
@@ -7,8 +7,8 @@
 import type { ControlSession } from "./sessions/control_session.ts";
 import type { LimitsRegistry } from "./sessions/limits_registry.ts";
 
-/** What an entry host's parts share. */
-export type EntryWorld = {
+/** The components that the parts of one entry host share. */
+export type EntryContext = {
   control: ControlSession;
   table: BackendServerTable;
   router: Router;
--- a/packages/daemon/src/entry/operators/fetch_manifest.ts
+++ b/packages/daemon/src/entry/operators/fetch_manifest.ts
@@ -5,9 +5,9 @@
 import { invalidRequest } from "../calls/invalid_request.ts";
 import type { Problem } from "../../http/problem.ts";
 
-const STORE_MILLISECONDS = 5_000;
+const STORE_TIMEOUT_MILLISECONDS = 5_000;
 
-/** Reads a version's manifest from its weight store, and checks it. */
+/** Fetches the manifest of a version from its weight store and validates it. */
 export async function fetchManifest(
   store: string,
   name: string,
@@ -16,21 +16,21 @@
   const url = `${store}/manifests/${encodeURIComponent(name)}/${
     encodeURIComponent(version)
   }`;
-  const fault = (detail: string) =>
+  const refuse = (detail: string) =>
     Result.err<WeightsManifest, Problem>(invalidRequest("store", detail));
   try {
     const answer = await fetch(url, {
-      signal: AbortSignal.timeout(STORE_MILLISECONDS),
+      signal: AbortSignal.timeout(STORE_TIMEOUT_MILLISECONDS),
     });
-    if (!answer.ok) return fault(`${url} answers ${answer.status}`);
+    if (!answer.ok) return refuse(`${url} answered ${answer.status}`);
     const checked = weightsManifestSchema.safeParse(await answer.json());
-    if (!checked.success) return fault(describeIssue(checked.error).detail);
+    if (!checked.success) return refuse(describeIssue(checked.error).detail);
     if (checked.data.name !== name || checked.data.version !== version) {
-      return fault(`${url} has another name or version`);
+      return refuse(`${url} has a manifest of another name or version`);
     }
     return Result.ok(checked.data);
   } catch (error) {
     const { cause, message } = error as Error & { cause?: { code?: string } };
-    return fault(`${url} can't be read: ${cause?.code ?? message}`);
+    return refuse(`${url} can't be read: ${cause?.code ?? message}`);
   }
 }
--- a/packages/daemon/src/entry/operators/operator_api.ts
+++ b/packages/daemon/src/entry/operators/operator_api.ts
@@ -15,10 +15,10 @@
 import { readBody } from "../../http/read_body.ts";
 import { sendProblem } from "../../http/send_problem.ts";
 
-const MOST_BODY_BYTES = 1_048_576;
-const REPLACE_MILLISECONDS = 40_000;
+const MAX_BODY_BYTES = 1_048_576;
+const REPLACE_MEMBER_TIMEOUT_MILLISECONDS = 40_000;
 
-const changeSchema = z.strictObject({
+const contractChangeSchema = z.strictObject({
   expected: z.number().int().min(0),
   content: contractContentSchema,
   retired: z.boolean().default(false),
@@ -32,7 +32,7 @@
   serving_share: z.number().min(0).max(1).default(0.75),
 });
 
-const NO_LEADER: Problem = {
+const NO_LEADER_PROBLEM: Problem = {
   status: 503,
   type: "no-leader",
   detail: "no leader can be reached; the change was not accepted",
@@ -40,7 +40,7 @@
   retryAfterMilliseconds: 1_000,
 };
 
-const UNKNOWN: Problem = {
+const UNKNOWN_OUTCOME_PROBLEM: Problem = {
   status: 504,
   type: "outcome-unknown",
   detail: "the change may have been accepted; send the same again",
@@ -54,18 +54,18 @@
   control: ControlSession;
   clients: ClientPool;
   idleMilliseconds: number;
-  /** Everything that `status` shows beside the replicated tables. */
+  /** Returns the body of the `status` answer. */
   readStatus: () => Promise<unknown>;
   readTimeline: (since: number) => Promise<unknown>;
 };
 
 type Reply = Result<{ status: number; body: unknown }, Problem>;
 
-function digestOf(value: unknown): string {
+function computeDigest(value: unknown): string {
   return createHash("sha256").update(JSON.stringify(value)).digest("hex");
 }
 
-/** The operators' part of the public port. */
+/** Handles the operators' requests on the public port. */
 export class OperatorApi {
   #options: Options;
 
@@ -80,8 +80,8 @@
     const url = new URL(request.url ?? "", "http://entry");
     const parts = url.pathname.split("/").slice(3).map(decodeURIComponent);
     const reply = request.method === "GET"
-      ? await this.#get(parts, url.searchParams)
-      : await this.#change(request, parts);
+      ? await this.#handleRead(parts, url.searchParams)
+      : await this.#handleChange(request, parts);
     if (reply.isErr) return sendProblem(response, reply.error);
     response.writeHead(reply.value.status, {
       "Content-Type": "application/json",
@@ -89,7 +89,7 @@
     response.end(JSON.stringify(reply.value.body));
   }
 
-  async #get(parts: string[], query: URLSearchParams): Promise<Reply> {
+  async #handleRead(parts: string[], query: URLSearchParams): Promise<Reply> {
     const { control } = this.#options;
     const [table, name] = parts;
     if (table === "status") {
@@ -99,8 +99,9 @@
       const since = Number(query.get("since") ?? 0);
       return found(await this.#options.readTimeline(since || 0));
     }
-    // A cut-off entry host still shows what it last knew, and says so.
-    const current = await control.readCurrent();
+    // An entry host that is cut off from the leader still returns its last
+    // known tables, with `current` false.
+    const current = await control.confirmStateIsCurrent();
     if (table === "contracts" && name === undefined) {
       return found({ current, rows: [...control.state.contracts.values()] });
     }
@@ -116,7 +117,10 @@
     return noSuchPath();
   }
 
-  async #change(request: IncomingMessage, parts: string[]): Promise<Reply> {
+  async #handleChange(
+    request: IncomingMessage,
+    parts: string[],
+  ): Promise<Reply> {
     const body = await this.#readJson(request);
     if (body.isErr) return Result.err(body.error);
     const [table, name, action] = parts;
@@ -136,8 +140,8 @@
   }
 
   #changeContract(workspace: string, body: unknown): Promise<Reply> {
-    const checked = changeSchema.safeParse(body);
-    if (!checked.success) return refuseIssue(checked.error);
+    const checked = contractChangeSchema.safeParse(body);
+    if (!checked.success) return refuseInvalidBody(checked.error);
     const { expected, content, retired } = checked.data;
     return this.#propose({
       kind: "change-contract",
@@ -145,13 +149,13 @@
       expected,
       content,
       retired,
-      digest: digestOf({ content, retired }),
+      digest: computeDigest({ content, retired }),
     });
   }
 
   async #publish(service: string, body: unknown): Promise<Reply> {
     const checked = publishSchema.safeParse(body);
-    if (!checked.success) return refuseIssue(checked.error);
+    if (!checked.success) return refuseInvalidBody(checked.error);
     const { expected, name, version, store, serving_share } = checked.data;
     const manifest = await fetchManifest(store, name, version);
     if (manifest.isErr) return Result.err(manifest.error);
@@ -162,13 +166,13 @@
       manifest: manifest.value,
       store,
       servingShare: serving_share,
-      digest: digestOf({ manifest: manifest.value, store, serving_share }),
+      digest: computeDigest({ manifest: manifest.value, store, serving_share }),
     });
   }
 
   #drain(backendServer: string, body: unknown): Promise<Reply> {
     const checked = drainSchema.safeParse(body);
-    if (!checked.success) return refuseIssue(checked.error);
+    if (!checked.success) return refuseInvalidBody(checked.error);
     const { drained } = checked.data;
     return this.#propose({ kind: "drain-backend", backendServer, drained });
   }
@@ -176,26 +180,28 @@
   async #replaceMember(name: string): Promise<Reply> {
     const { control, clients } = this.#options;
     const { leader } = control;
-    if (leader === "") return Result.err(NO_LEADER);
+    if (leader === "") return Result.err(NO_LEADER_PROBLEM);
     try {
       const { accepted, reason, memberId } = await clients
         .client(ControlService, leader)
-        .replaceMember({ name }, { timeoutMs: REPLACE_MILLISECONDS });
+        .replaceMember({ name }, {
+          timeoutMs: REPLACE_MEMBER_TIMEOUT_MILLISECONDS,
+        });
       return Result.ok({
         status: accepted ? 200 : 409,
         body: { accepted, reason, stands: memberId },
       });
     } catch {
-      return Result.err(UNKNOWN);
+      return Result.err(UNKNOWN_OUTCOME_PROBLEM);
     }
   }
 
   async #propose(command: Command): Promise<Reply> {
     const checked = commandSchema.safeParse(command);
-    if (!checked.success) return refuseIssue(checked.error);
+    if (!checked.success) return refuseInvalidBody(checked.error);
     const reply = await this.#options.control.propose(command);
-    if (reply.kind === "not-proposed") return Result.err(NO_LEADER);
-    if (reply.kind === "unknown") return Result.err(UNKNOWN);
+    if (reply.kind === "not-proposed") return Result.err(NO_LEADER_PROBLEM);
+    if (reply.kind === "unknown") return Result.err(UNKNOWN_OUTCOME_PROBLEM);
     const { accepted, reason, value } = reply.answer;
     return Result.ok({
       status: accepted ? 200 : 409,
@@ -211,7 +217,7 @@
 
   async #readJson(request: IncomingMessage): Promise<Result<unknown, Problem>> {
     const body = await readBody(request, {
-      maximumBytes: MOST_BODY_BYTES,
+      maximumBytes: MAX_BODY_BYTES,
       idleMilliseconds: this.#options.idleMilliseconds,
     });
     if (body.isErr) return Result.err(body.error);
@@ -246,7 +252,7 @@
   return notFound("no such path");
 }
 
-function refuseIssue(error: z.ZodError): Promise<Reply> {
+function refuseInvalidBody(error: z.ZodError): Promise<Reply> {
   const { field, detail } = describeIssue(error);
   return Promise.resolve(Result.err(invalidRequest(field, detail)));
 }
--- a/packages/daemon/src/entry/operators/read_status.ts
+++ b/packages/daemon/src/entry/operators/read_status.ts
@@ -1,20 +1,20 @@
 import { versionName } from "@teaselrouter/core/spread/version_name.ts";
 import type { Settings } from "../../settings/settings.ts";
-import type { EntryWorld } from "../entry_world.ts";
+import type { EntryContext } from "../entry_context.ts";
 
-/** What `teaselrouter status` shows: the system as this entry host sees it. */
+/** The system as this entry host sees it, as `teaselrouter status` shows it. */
 export function readStatus(
   settings: Settings,
-  world: EntryWorld,
+  context: EntryContext,
 ): Promise<unknown> {
   const now = Date.now();
-  const { state } = world.control;
+  const { state } = context.control;
   return Promise.resolve({
     entry_host: settings.name,
     data_centre: settings.data_centre,
-    has_lease: world.control.hasLease(now),
-    leader: world.control.leader,
-    term: world.control.term,
+    has_lease: context.control.hasLease(now),
+    leader: context.control.leader,
+    term: context.control.term,
     applied_index: state.appliedIndex,
     entry_hosts: [...state.entryHosts.values()],
     contracts: [...state.contracts.values()].map((contract) => ({
@@ -22,12 +22,14 @@
       number: contract.number,
       retired: contract.retired,
       requests_per_second: contract.content.requests_per_second,
-      demand: world.limits.limiter(contract.workspace, now).demand(now),
+      demand: context.limits.getLimiter(contract.workspace, now).demand(
+        now,
+      ),
     })),
     weights: [...state.weights.values()].map((weights) => {
       const version = versionName(weights.manifest);
-      const rows = world.table.ofService(weights.service)
-        .filter((row) => world.table.isLive(row, now));
+      const rows = context.table.ofService(weights.service)
+        .filter((row) => context.table.isLive(row, now));
       return {
         service: weights.service,
         version,
@@ -37,7 +39,7 @@
         replicas: rows.length,
       };
     }),
-    backend_servers: world.table.all().map((row) => ({
+    backend_servers: context.table.all().map((row) => ({
       backend_server: row.backendServer,
       data_centre: row.dataCentre,
       service: row.service,
--- a/packages/daemon/src/entry/public_server.ts
+++ b/packages/daemon/src/entry/public_server.ts
@@ -10,11 +10,11 @@
 import { listen } from "../transport/listen.ts";
 import { sendProblem } from "../http/send_problem.ts";
 
-const MOST_HEADER_BYTES = 16_384;
-const CHECK_MILLISECONDS = 500;
-const QUIET_MILLISECONDS = 500;
+const MAX_HEADER_BYTES = 16_384;
+const CONNECTIONS_CHECK_INTERVAL_MILLISECONDS = 500;
+const RECENT_REQUEST_MILLISECONDS = 500;
 
-type Handle = (
+type RequestHandler = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => Promise<void>;
@@ -22,26 +22,26 @@
 type Options = {
   idleMilliseconds: number;
   isReady: () => boolean;
-  handleCall: Handle;
-  handleOperator: Handle;
-  onFault: (error: unknown) => void;
+  handleCall: RequestHandler;
+  handleOperator: RequestHandler;
+  onError: (error: unknown) => void;
 };
 
-/** The port for callers, operators and the platform's balancer. */
+/** Serves callers, operators and the platform's load balancer on one port. */
 export class PublicServer {
   #server: Server;
   #options: Options;
-  #askedAt = 0;
+  #lastRequestAt = 0;
 
   constructor(options: Options) {
     this.#options = options;
     this.#server = createServer({
-      maxHeaderSize: MOST_HEADER_BYTES,
+      maxHeaderSize: MAX_HEADER_BYTES,
       headersTimeout: options.idleMilliseconds,
       requestTimeout: 0,
-      connectionsCheckingInterval: CHECK_MILLISECONDS,
+      connectionsCheckingInterval: CONNECTIONS_CHECK_INTERVAL_MILLISECONDS,
     }, (request, response) => this.#handle(request, response));
-    this.#server.on("clientError", answerClientError);
+    this.#server.on("clientError", sendClientError);
   }
 
   listen(address: string): Promise<Result<void, string>> {
@@ -49,18 +49,18 @@
   }
 
   /**
-   * Takes no new connections. The http server's own `close` would also close
-   * idle ones, under calls that are just on their way: callers would see a
-   * broken connection and not know whether the call had run. They are
-   * answered instead, and told to close.
+   * Stops accepting new connections. The HTTP server's own `close` would also
+   * close idle connections on which a call is just arriving. Callers would see
+   * a broken connection and not know whether the call had run. Such calls are
+   * answered instead, with "Connection: close".
    */
   stopListening(): void {
     NetServer.prototype.close.call(this.#server);
   }
 
-  /** Whether no request has come for a while. */
-  isQuiet(now: number): boolean {
-    return now - this.#askedAt > QUIET_MILLISECONDS;
+  /** Whether no request has arrived for RECENT_REQUEST_MILLISECONDS. */
+  hasNoRecentRequest(now: number): boolean {
+    return now - this.#lastRequestAt > RECENT_REQUEST_MILLISECONDS;
   }
 
   close(): void {
@@ -71,12 +71,12 @@
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.#askedAt = Date.now();
+    this.#lastRequestAt = Date.now();
     response.on("error", () => undefined);
     try {
       await this.#dispatch(request, response);
     } catch (error) {
-      this.#options.onFault(error);
+      this.#options.onError(error);
       sendProblem(response, {
         status: 500,
         type: "internal-error",
@@ -91,9 +91,10 @@
     response: ServerResponse,
   ): Promise<void> {
     const url = request.url ?? "";
-    if (url === "/live") return sendState(response, true);
-    if (url === "/ready") return sendState(response, this.#options.isReady());
-    // A planned stop: clients that keep connections must open new ones.
+    if (url === "/live") return sendHealth(response, true);
+    if (url === "/ready") return sendHealth(response, this.#options.isReady());
+    // While this host is not ready, as during a planned shutdown, clients that
+    // keep connections alive must open new ones.
     if (!this.#options.isReady()) response.setHeader("Connection", "close");
     if (url.startsWith("/v1/operator/")) {
       return await this.#options.handleOperator(request, response);
@@ -102,9 +103,9 @@
   }
 }
 
-function sendState(response: ServerResponse, good: boolean): void {
-  response.writeHead(good ? 200 : 503, { "Content-Type": "text/plain" });
-  response.end(good ? "ok\n" : "no\n");
+function sendHealth(response: ServerResponse, isOk: boolean): void {
+  response.writeHead(isOk ? 200 : 503, { "Content-Type": "text/plain" });
+  response.end(isOk ? "ok\n" : "no\n");
 }
 
 const CLIENT_ERRORS: Record<string, { status: string; type: string }> = {
@@ -118,8 +119,11 @@
   },
 };
 
-/** What isn't HTTP gets its connection closed, the rest a reason. */
-function answerClientError(
+/**
+ * Answers headers that are too large or too slow with a problem document. Any
+ * other malformed request gets its connection closed.
+ */
+function sendClientError(
   error: Error & { code?: string },
   socket: Duplex,
 ): void {
--- a/packages/daemon/src/entry/public_server_test.ts
+++ b/packages/daemon/src/entry/public_server_test.ts
@@ -6,7 +6,7 @@
 const REQUEST = "POST /v1/services/a/b HTTP/1.1\r\nHost: x\r\n" +
   "Content-Length: 0\r\n\r\n";
 
-function freePort(): Promise<number> {
+function findFreePort(): Promise<number> {
   const server = createServer();
   return new Promise((resolve) => {
     server.listen(0, "127.0.0.1", () => {
@@ -16,7 +16,7 @@
   });
 }
 
-function open(port: number): Promise<Socket | undefined> {
+function openConnection(port: number): Promise<Socket | undefined> {
   return new Promise((resolve) => {
     const socket = connect({ port, host: "127.0.0.1" });
     socket.once("connect", () => resolve(socket));
@@ -24,7 +24,7 @@
   });
 }
 
-function askOn(socket: Socket, request = REQUEST): Promise<string> {
+function sendRequest(socket: Socket, request = REQUEST): Promise<string> {
   return new Promise((resolve) => {
     socket.once("data", (bytes) => resolve(String(bytes)));
     socket.once("close", () => resolve("closed"));
@@ -33,7 +33,7 @@
   });
 }
 
-function newServer(isReady: () => boolean): PublicServer {
+function createPublicServer(isReady: () => boolean): PublicServer {
   return new PublicServer({
     idleMilliseconds: 5_000,
     isReady,
@@ -42,48 +42,48 @@
       return Promise.resolve();
     },
     handleOperator: () => Promise.resolve(),
-    onFault: () => undefined,
+    onError: () => undefined,
   });
 }
 
-test("a planned stop shows in /ready first, while calls are still taken", async () => {
+test("during a shutdown /ready answers 503 while calls are still accepted", async () => {
   let ready = true;
-  const server = newServer(() => ready);
-  const port = await freePort();
+  const server = createPublicServer(() => ready);
+  const port = await findFreePort();
   assert.ok((await server.listen(`127.0.0.1:${port}`)).isOk);
-  const ask = async (request: string) => {
-    const socket = await open(port);
+  const sendOnNewConnection = async (request: string) => {
+    const socket = await openConnection(port);
     assert.ok(socket !== undefined);
-    return askOn(socket, request);
+    return sendRequest(socket, request);
   };
-  const readiness = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
-  const liveness = "GET /live HTTP/1.1\r\nHost: x\r\n\r\n";
-  assert.match(await ask(readiness), /^HTTP\/1\.1 200/);
+  const readyRequest = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
+  const liveRequest = "GET /live HTTP/1.1\r\nHost: x\r\n\r\n";
+  assert.match(await sendOnNewConnection(readyRequest), /^HTTP\/1\.1 200/);
   ready = false;
-  assert.match(await ask(readiness), /^HTTP\/1\.1 503/);
-  assert.match(await ask(liveness), /^HTTP\/1\.1 200/);
-  assert.match(await ask(REQUEST), /200 OK.*whole/s);
+  assert.match(await sendOnNewConnection(readyRequest), /^HTTP\/1\.1 503/);
+  assert.match(await sendOnNewConnection(liveRequest), /^HTTP\/1\.1 200/);
+  assert.match(await sendOnNewConnection(REQUEST), /200 OK.*whole/s);
   server.stopListening();
   server.close();
 });
 
-test("after listening ended, a kept connection's next call is answered", async () => {
-  // Story: a caller's pool keeps an idle connection to a host that stops.
-  // Its next call is already on the way when the host ends listening; closed
-  // under it, the caller could not tell whether the call had run.
+test("after the server stops listening, a keep-alive connection's next call is answered", async () => {
+  // A caller's pool keeps an idle connection to a host that shuts down, and the
+  // next call is already on its way when the host stops listening. If the host
+  // closed the connection, the caller could not tell whether the call had run.
   let ready = true;
-  const server = newServer(() => ready);
-  const port = await freePort();
+  const server = createPublicServer(() => ready);
+  const port = await findFreePort();
   assert.ok((await server.listen(`127.0.0.1:${port}`)).isOk);
-  const kept = await open(port);
-  assert.ok(kept !== undefined);
-  assert.match(await askOn(kept), /200 OK.*whole/s);
+  const keptConnection = await openConnection(port);
+  assert.ok(keptConnection !== undefined);
+  assert.match(await sendRequest(keptConnection), /200 OK.*whole/s);
   ready = false;
   server.stopListening();
-  assert.equal(await open(port), undefined, "it still listens");
-  const last = await askOn(kept);
-  assert.match(last, /200 OK.*whole/s);
-  assert.match(last, /Connection: close/);
-  assert.ok(!server.isQuiet(Date.now()));
+  assert.equal(await openConnection(port), undefined, "it still listens");
+  const lastResponse = await sendRequest(keptConnection);
+  assert.match(lastResponse, /200 OK.*whole/s);
+  assert.match(lastResponse, /Connection: close/);
+  assert.ok(!server.hasNoRecentRequest(Date.now()));
   server.close();
 });
--- a/packages/daemon/src/entry/sessions/agent_session.ts
+++ b/packages/daemon/src/entry/sessions/agent_session.ts
@@ -18,8 +18,9 @@
 import type { PermitQueue } from "./permit_queue.ts";
 import type { SpreadCoordinator } from "../../rollout/spread_coordinator.ts";
 
-const HEARTBEAT_MILLISECONDS = 1_000;
-const SILENT_MILLISECONDS = 3_000;
+const HEARTBEAT_INTERVAL_MILLISECONDS = 1_000;
+/** A session that receives no message for this long is closed. */
+const SILENCE_MILLISECONDS = 3_000;
 
 type Options = {
   host: string;
@@ -29,30 +30,38 @@
   coordinator: SpreadCoordinator;
   permits: PermitQueue;
   log: EventLog;
-  /** The newest session of each agent; an older one closes without effect. */
-  owners: Map<string, AgentSession>;
+  /**
+   * The newest session of each agent, by backend server. Closing an older
+   * session leaves the agent registered.
+   */
+  newestSessions: Map<string, AgentSession>;
 };
 
-/** The entry host's side of one agent's stream. */
+/** Handles the entry host's side of one agent's stream. */
 export class AgentSession {
   readonly outgoing$ = new Subject<EntryToAgent>();
   #options: Options;
   #announcement: Announcement | undefined;
   #subscriptions = new Subscription();
   #heardAt = Date.now();
-  #toldTarget = 0;
-  #toldDrain = false;
+  #sentTargetIndex = 0;
+  #sentDrained = false;
   #timer: NodeJS.Timeout;
 
   constructor(options: Options) {
     this.#options = options;
-    this.#timer = setInterval(() => this.#beat(), HEARTBEAT_MILLISECONDS);
+    this.#timer = setInterval(
+      () => this.#sendHeartbeatOrClose(),
+      HEARTBEAT_INTERVAL_MILLISECONDS,
+    );
     this.#subscriptions.add(
-      options.control.changed$.subscribe((state) => this.#tellState(state)),
+      options.control.changed$.subscribe((state) =>
+        this.#sendStateUpdates(state)
+      ),
     );
   }
 
-  take(message: AgentToEntry): void {
+  handleMessage(message: AgentToEntry): void {
     this.#heardAt = Date.now();
     this.#options.log.ring.observe(this.#heardAt, {
       time: message.clockTime,
@@ -61,22 +70,25 @@
     const { body } = message;
     switch (body.case) {
       case "announcement":
-        return this.#takeAnnouncement(body.value);
+        return this.#handleAnnouncement(body.value);
       case "load":
-        return this.#takeLoad(body.value);
+        return this.#handleLoadReport(body.value);
       case "chunks":
-        return this.#options.coordinator.takeReport(this.#name, body.value);
+        return this.#options.coordinator.takeReport(
+          this.#backendServer,
+          body.value,
+        );
       case "permitRequest":
-        return this.#takePermitRequest(body.value);
+        return this.#handlePermitRequest(body.value);
       case "loadSettled":
         this.#options.control.propose({
           kind: "settle-permit",
-          backendServer: this.#name,
+          backendServer: this.#backendServer,
           fencingToken: body.value.fencingToken,
         });
         return;
       case "heartbeat":
-        return this.#touch();
+        return this.#updateHeardAt();
     }
   }
 
@@ -84,50 +96,56 @@
     clearInterval(this.#timer);
     this.#subscriptions.unsubscribe();
     this.outgoing$.complete();
-    if (this.#options.owners.get(this.#name) !== this) return;
-    this.#options.owners.delete(this.#name);
-    this.#options.coordinator.removeHost(this.#name);
-    // Calls under way keep their row; a new session makes a new one.
-    this.#options.table.delete(this.#name);
+    if (this.#options.newestSessions.get(this.#backendServer) !== this) return;
+    this.#options.newestSessions.delete(this.#backendServer);
+    this.#options.coordinator.removeHost(this.#backendServer);
+    // In-flight calls keep a reference to their row; a new session creates a
+    // new row.
+    this.#options.table.delete(this.#backendServer);
     this.#options.log.info("backend-server-gone", {
-      backend_server: this.#name,
+      backend_server: this.#backendServer,
     });
   }
 
-  get #name(): string {
+  get #backendServer(): string {
     return this.#announcement?.backendServer ?? "";
   }
 
-  /** This session's row; a newer session of the same agent has its own. */
+  /**
+   * The agent's row in the table. Undefined before the announcement, and once a
+   * newer process of the agent has replaced the row.
+   */
   get #row(): BackendServerRow | undefined {
-    const row = this.#options.table.get(this.#name);
+    const row = this.#options.table.get(this.#backendServer);
     return row?.incarnation === this.#announcement?.incarnation
       ? row
       : undefined;
   }
 
-  #takeAnnouncement(announcement: Announcement): void {
+  #handleAnnouncement(announcement: Announcement): void {
     const isFirst = this.#announcement === undefined;
     this.#announcement = announcement;
     const now = Date.now();
-    const before = this.#row;
+    const existing = this.#row;
     const { $typeName: _type, $unknown: _unknown, ...fields } = announcement;
-    const wasAccepting = before?.accepting ?? false;
+    const wasAccepting = existing?.accepting ?? false;
     const row: BackendServerRow = {
-      ...(before ?? newBackendServerRow(fields, now)),
+      ...(existing ?? newBackendServerRow(fields, now)),
       ...fields,
       heardAt: now,
     };
     if (row.accepting && !wasAccepting) row.acceptingSince = now;
-    // Calls under way hold the row and count in it: change it in place.
-    if (before === undefined) this.#options.table.set(row);
-    else Object.assign(before, row);
+    // In-flight calls reference the row and update its counters, so an existing
+    // row is changed in place.
+    if (existing === undefined) this.#options.table.set(row);
+    else Object.assign(existing, row);
     if (!isFirst) return;
-    this.#options.owners.set(announcement.backendServer, this);
-    this.#begin(announcement);
+    this.#options.newestSessions.set(announcement.backendServer, this);
+    this.#registerAgent(announcement);
   }
 
-  #begin(announcement: Announcement): void {
+  /** Called on the first announcement of this session. */
+  #registerAgent(announcement: Announcement): void {
     const { control, coordinator, log } = this.#options;
     log.info("backend-server-announced", {
       backend_server: announcement.backendServer,
@@ -141,14 +159,14 @@
       linkBytesPerSecond: announcement.linkBytesPerSecond,
       send: (message) => this.outgoing$.next(message),
     });
-    this.#beat();
-    this.#tellState(control.state);
+    this.#sendHeartbeatOrClose();
+    this.#sendStateUpdates(control.state);
   }
 
-  #takeLoad(load: LoadReport): void {
+  #handleLoadReport(load: LoadReport): void {
     const row = this.#row;
     if (row === undefined) return;
-    this.#touch();
+    this.#updateHeardAt();
     row.load = {
       running: load.running,
       queued: load.queued,
@@ -158,7 +176,7 @@
     };
   }
 
-  #takePermitRequest(request: PermitRequest): void {
+  #handlePermitRequest(request: PermitRequest): void {
     const announcement = this.#announcement;
     if (announcement === undefined) return;
     const { permits, table } = this.#options;
@@ -179,13 +197,17 @@
     });
   }
 
-  #tellState(state: ControlState): void {
+  /**
+   * Sends the agent its drain state if that has changed, and the weights to
+   * load if they are newer than those sent before.
+   */
+  #sendStateUpdates(state: ControlState): void {
     const service = this.#announcement?.service;
     if (service === undefined) return;
-    this.#tellDrain(state);
+    this.#sendDrainUpdate(state);
     const weights = state.weights.get(service);
-    if (weights === undefined || weights.index <= this.#toldTarget) return;
-    this.#toldTarget = weights.index;
+    if (weights === undefined || weights.index <= this.#sentTargetIndex) return;
+    this.#sentTargetIndex = weights.index;
     this.#send({
       case: "target",
       value: {
@@ -199,20 +221,20 @@
     });
   }
 
-  #tellDrain(state: ControlState): void {
-    const drained = state.drained.has(this.#name);
-    if (drained === this.#toldDrain) return;
-    this.#toldDrain = drained;
+  #sendDrainUpdate(state: ControlState): void {
+    const drained = state.drained.has(this.#backendServer);
+    if (drained === this.#sentDrained) return;
+    this.#sentDrained = drained;
     this.#send({ case: "drain", value: drained });
   }
 
-  #touch(): void {
+  #updateHeardAt(): void {
     const row = this.#row;
     if (row !== undefined) row.heardAt = this.#heardAt;
   }
 
-  #beat(): void {
-    if (Date.now() - this.#heardAt > SILENT_MILLISECONDS) return this.close();
+  #sendHeartbeatOrClose(): void {
+    if (Date.now() - this.#heardAt > SILENCE_MILLISECONDS) return this.close();
     const { control, host, dataCentre } = this.#options;
     const current = control.hasLease(Date.now());
     this.#send({ case: "heartbeat", value: { current, host, dataCentre } });
--- a/packages/daemon/src/entry/sessions/control_session.ts
+++ b/packages/daemon/src/entry/sessions/control_session.ts
@@ -22,16 +22,16 @@
 import { pause } from "../../transport/pause.ts";
 import { toAsyncIterable } from "../../transport/to_async_iterable.ts";
 import type { ProposalReply } from "./proposal_reply.ts";
-import { ProposalWaiters } from "./proposal_waiters.ts";
+import { PendingProposals } from "./pending_proposals.ts";
 import type { Proposer } from "./proposer.ts";
-import { ReportLedger } from "./report_ledger.ts";
+import { ReportTracker } from "./report_tracker.ts";
 
-const HEARTBEAT_MILLISECONDS = 400;
-const SILENT_MILLISECONDS = 1_200;
-const LEADERLESS_MILLISECONDS = 1_000;
-const RECONNECT_MILLISECONDS = 50;
-const PROPOSAL_MILLISECONDS = 8_000;
-const RETRY_MILLISECONDS = 100;
+const HEARTBEAT_INTERVAL_MILLISECONDS = 400;
+const SILENCE_TIMEOUT_MILLISECONDS = 1_200;
+const NO_LEADER_TIMEOUT_MILLISECONDS = 1_000;
+const RECONNECT_DELAY_MILLISECONDS = 50;
+const PROPOSAL_TIMEOUT_MILLISECONDS = 8_000;
+const PROPOSAL_RETRY_DELAY_MILLISECONDS = 100;
 
 type Options = {
   hello: {
@@ -47,25 +47,29 @@
   demands: () => { workspace: string; rate: number }[];
 };
 
-/** An entry host's stream to the control hosts: follows, reports, proposes. */
+/**
+ * An entry host's stream to one control host at a time. Applies the commands
+ * that arrive on the stream to a copy of the replicated tables, reports demand
+ * and progress to the leader, and proposes commands.
+ */
 export class ControlSession implements Proposer {
-  /** After every change of the tables. */
+  /** Emits after every change of the tables. */
   readonly changed$ = new Subject<ControlState>();
-  /** Allotments with the time that their report was sent. */
+  /** Emits allotments with the time at which the report they answer was sent. */
   readonly allotted$ = new Subject<{ allotment: Allotment; sentAt: number }>();
   state: ControlState = emptyControlState();
   #options: Options;
   #outgoing: Subject<EntryToControl> | undefined;
-  #leading = false;
+  #isConnectedToLeader = false;
   #leaderAddress = "";
-  #address = "";
+  #controlHostAddress = "";
   #term = 0;
   #heardAt = 0;
-  #followedAt = 0;
-  #leave = () => {};
+  #connectedAt = 0;
+  #disconnect = () => {};
   #allotmentSequence = 0;
-  #reports = new ReportLedger();
-  #proposals = new ProposalWaiters();
+  #reports = new ReportTracker();
+  #pendingProposals = new PendingProposals();
   #stopped = false;
   #timer: NodeJS.Timeout | undefined;
 
@@ -74,8 +78,11 @@
   }
 
   start(): void {
-    this.#timer = setInterval(() => this.#beat(), HEARTBEAT_MILLISECONDS);
-    this.#run();
+    this.#timer = setInterval(
+      () => this.#sendReport(),
+      HEARTBEAT_INTERVAL_MILLISECONDS,
+    );
+    this.#runConnections();
   }
 
   stop(): void {
@@ -84,64 +91,69 @@
     this.#outgoing?.complete();
   }
 
-  /** Address of the control host that is followed; empty for none. */
+  /** Address of the connected control host if it is the leader, else empty. */
   get leader(): string {
-    return this.#leading ? this.#address : "";
+    return this.#isConnectedToLeader ? this.#controlHostAddress : "";
   }
 
   get term(): number {
     return this.#term;
   }
 
-  /** Whether a leader confirmed this host's reports lately. */
+  /** Whether a leader confirmed one of this host's reports recently enough. */
   hasLease(now: number): boolean {
     return this.#reports.hasLease(now);
   }
 
   /**
-   * Proposes until there is an outcome, to each new leader, until
+   * Proposes the command again, to each new leader, until it is committed or
    * `milliseconds` have passed. Every command is idempotent, so one whose
-   * fate is not known may be proposed again.
+   * outcome is unknown may be proposed again. An undefined command changes
+   * nothing; its commit confirms that the tables here are current.
    */
   async propose(
     command: Command | undefined,
-    milliseconds = PROPOSAL_MILLISECONDS,
+    milliseconds = PROPOSAL_TIMEOUT_MILLISECONDS,
   ): Promise<ProposalReply> {
     const until = Date.now() + milliseconds;
-    let inDoubt = false;
+    let isInDoubt = false;
     while (true) {
       const reply = await this.#proposeOnce(command, until - Date.now());
       if (reply.kind === "committed") return reply;
-      inDoubt ||= reply.kind === "unknown";
-      const mayRepeat = !this.#stopped && this.#isLeaderLikely() &&
-        Date.now() + RETRY_MILLISECONDS < until;
-      if (!mayRepeat) return { kind: inDoubt ? "unknown" : "not-proposed" };
-      await pause(RETRY_MILLISECONDS);
+      isInDoubt ||= reply.kind === "unknown";
+      const canRetry = !this.#stopped && this.#isLeaderLikelyReachable() &&
+        Date.now() + PROPOSAL_RETRY_DELAY_MILLISECONDS < until;
+      if (!canRetry) return { kind: isInDoubt ? "unknown" : "not-proposed" };
+      await pause(PROPOSAL_RETRY_DELAY_MILLISECONDS);
     }
   }
 
-  /** Confirms with the leader that the tables here are current. */
-  async readCurrent(): Promise<boolean> {
-    const reply = await this.propose(undefined, PROPOSAL_MILLISECONDS / 2);
+  /** Asks the leader to confirm that the tables here are current. */
+  async confirmStateIsCurrent(): Promise<boolean> {
+    const reply = await this.propose(
+      undefined,
+      PROPOSAL_TIMEOUT_MILLISECONDS / 2,
+    );
     return reply.kind === "committed";
   }
 
   /**
-   * A host that has had no lease for a while is cut off: it refuses at once
-   * instead of letting callers wait for a leader that can't be reached.
+   * A host that has had no lease for a while is cut off from the leader. Its
+   * proposals fail at once instead of making callers wait for a leader that
+   * can't be reached.
    */
-  #isLeaderLikely(): boolean {
-    return this.#reports.hadLeaseLately(Date.now());
+  #isLeaderLikelyReachable(): boolean {
+    return this.#reports.hadLeaseRecently(Date.now());
   }
 
   #proposeOnce(
     command: Command | undefined,
     milliseconds: number,
   ): Promise<ProposalReply> {
-    if (this.#outgoing === undefined || !this.#leading) {
+    if (this.#outgoing === undefined || !this.#isConnectedToLeader) {
       return Promise.resolve({ kind: "not-proposed" });
     }
-    const { number, reply } = this.#proposals.add(milliseconds);
+    const { number, reply } = this.#pendingProposals.add(milliseconds);
     const bytes = command === undefined
       ? new Uint8Array(0)
       : new TextEncoder().encode(JSON.stringify(command));
@@ -149,7 +161,11 @@
     return reply;
   }
 
-  async #run(): Promise<void> {
+  /**
+   * Connects to one control host after another: to the leader that the previous
+   * one named, or to the next one in the list.
+   */
+  async #runConnections(): Promise<void> {
     let next = 0;
     while (!this.#stopped) {
       const { controlHosts } = this.#options;
@@ -159,53 +175,57 @@
         : controlHosts[next % controlHosts.length]!;
       next += 1;
       this.#leaderAddress = "";
-      await this.#follow(address);
-      if (!this.#stopped) await pause(RECONNECT_MILLISECONDS);
+      await this.#runConnection(address);
+      if (!this.#stopped) await pause(RECONNECT_DELAY_MILLISECONDS);
     }
   }
 
-  async #follow(address: string): Promise<void> {
+  /** Keeps a stream to one control host until it ends or is given up. */
+  async #runConnection(address: string): Promise<void> {
     const outgoing = new Subject<EntryToControl>();
-    const stop = new AbortController();
-    this.#leave = () => stop.abort();
-    this.#followedAt = Date.now();
+    const abortController = new AbortController();
+    this.#disconnect = () => abortController.abort();
+    this.#connectedAt = Date.now();
     this.#outgoing = outgoing;
-    this.#address = address;
+    this.#controlHostAddress = address;
     this.#heardAt = Date.now();
     const client = this.#options.clients.client(ControlService, address);
-    const watch = setInterval(() => {
-      if (this.#isToBeLeft()) stop.abort();
-    }, HEARTBEAT_MILLISECONDS);
+    const watchTimer = setInterval(() => {
+      if (this.#shouldDisconnect()) abortController.abort();
+    }, HEARTBEAT_INTERVAL_MILLISECONDS);
     try {
       const incoming = client.session(
-        toAsyncIterable(outgoing.pipe(startWith(this.#hello()))),
-        { signal: stop.signal },
+        toAsyncIterable(outgoing.pipe(startWith(this.#createHello()))),
+        { signal: abortController.signal },
       );
-      for await (const message of incoming) this.#take(message);
+      for await (const message of incoming) this.#handleMessage(message);
     } catch {
       this.#options.clients.renew(address);
     } finally {
-      clearInterval(watch);
+      clearInterval(watchTimer);
       outgoing.complete();
-      this.#lose();
+      this.#handleDisconnect();
     }
   }
 
-  /** Silent, or for long without a leader: another host may know one. */
-  #isToBeLeft(): boolean {
+  /**
+   * Whether to give up the connected control host: it has been silent, or has
+   * not been the leader, for too long. Another control host may know a leader.
+   */
+  #shouldDisconnect(): boolean {
     if (this.#stopped) return true;
-    if (Date.now() - this.#heardAt > SILENT_MILLISECONDS) return true;
-    return !this.#leading &&
-      Date.now() - this.#followedAt > LEADERLESS_MILLISECONDS;
+    if (Date.now() - this.#heardAt > SILENCE_TIMEOUT_MILLISECONDS) return true;
+    return !this.#isConnectedToLeader &&
+      Date.now() - this.#connectedAt > NO_LEADER_TIMEOUT_MILLISECONDS;
   }
 
-  #lose(): void {
-    this.#leading = false;
+  #handleDisconnect(): void {
+    this.#isConnectedToLeader = false;
     this.#outgoing = undefined;
-    this.#proposals.loseAll();
+    this.#pendingProposals.settleAllAsUnknown();
   }
 
-  #hello(): EntryToControl {
+  #createHello(): EntryToControl {
     return create(EntryToControlSchema, {
       body: {
         case: "hello",
@@ -214,7 +234,7 @@
     });
   }
 
-  #take(message: ControlToEntry): void {
+  #handleMessage(message: ControlToEntry): void {
     this.#heardAt = Date.now();
     this.#options.log.ring.observe(this.#heardAt, {
       time: message.clockTime,
@@ -223,59 +243,68 @@
     const { body } = message;
     switch (body.case) {
       case "status":
-        return this.#takeStatus(body.value);
+        return this.#handleStatus(body.value);
       case "state":
-        return this.#takeState(body.value.index, body.value.state);
+        return this.#handleState(body.value.index, body.value.state);
       case "command":
-        return this.#takeCommand(body.value.index, body.value.command);
+        return this.#handleCommand(body.value.index, body.value.command);
       case "result":
-        return this.#proposals.settle(body.value.number, replyOf(body.value));
+        return this.#pendingProposals.settle(
+          body.value.number,
+          toProposalReply(body.value),
+        );
       case "allotment":
-        return this.#takeAllotment(body.value);
+        return this.#handleAllotment(body.value);
     }
   }
 
-  #takeStatus(status: ControlStatus): void {
-    if (status.leading !== this.#leading) {
-      this.#leading = status.leading;
-      if (status.leading) this.#beat();
+  #handleStatus(status: ControlStatus): void {
+    if (status.leading !== this.#isConnectedToLeader) {
+      this.#isConnectedToLeader = status.leading;
+      if (status.leading) this.#sendReport();
     }
     this.#leaderAddress = status.leaderAddress;
-    if (this.#knowsBetter(status)) this.#leave();
+    if (this.#namesAnotherLeader(status)) this.#disconnect();
     this.#term = status.term;
     const { state } = this;
     state.appliedIndex = Math.max(state.appliedIndex, status.commitIndex);
     if (status.leading) this.#reports.confirm(status.reportSequence);
   }
 
-  /** Another control host leads: no need to wait for silence here. */
-  #knowsBetter({ leading, leaderAddress }: ControlStatus): boolean {
+  /**
+   * Whether the connected control host names another one as the leader. Then
+   * there is no need to wait for the no-leader timeout.
+   */
+  #namesAnotherLeader({ leading, leaderAddress }: ControlStatus): boolean {
     return !leading && leaderAddress !== "" &&
-      leaderAddress !== this.#address &&
+      leaderAddress !== this.#controlHostAddress &&
       this.#options.controlHosts.includes(leaderAddress);
   }
 
-  /** A control host that lags may install a snapshot older than what stands. */
-  #takeState(index: number, bytes: Uint8Array): void {
+  /** A control host that lags may send a snapshot older than the tables here. */
+  #handleState(index: number, bytes: Uint8Array): void {
     if (index < this.state.appliedIndex) return;
     this.state = decodeControlState(bytes);
-    this.#applied();
+    this.#publishState();
   }
 
-  #takeCommand(index: number, bytes: Uint8Array): void {
+  #handleCommand(index: number, bytes: Uint8Array): void {
     if (index <= this.state.appliedIndex) return;
     const command = JSON.parse(new TextDecoder().decode(bytes)) as Command;
     applyCommand(this.state, command, index);
-    this.#applied();
+    this.#publishState();
   }
 
-  /** Reports at once: an operator waits until every host has applied it. */
-  #applied(): void {
+  /**
+   * Also reports at once, with the applied index: an operator's change waits
+   * until every entry host has applied it.
+   */
+  #publishState(): void {
     this.changed$.next(this.state);
-    this.#beat();
+    this.#sendReport();
   }
 
-  #takeAllotment(allotment: Allotment): void {
+  #handleAllotment(allotment: Allotment): void {
     const sentAt = this.#reports.sentAt(allotment.reportSequence);
     if (sentAt === undefined) return;
     if (allotment.sequence <= this.#allotmentSequence) return;
@@ -283,12 +312,12 @@
     this.#allotmentSequence = allotment.sequence;
   }
 
-  #beat(): void {
+  #sendReport(): void {
     if (this.#outgoing === undefined) return;
     this.#send({
       case: "report",
       value: {
-        sequence: this.#reports.send(Date.now()),
+        sequence: this.#reports.recordSend(Date.now()),
         appliedIndex: this.state.appliedIndex,
         demands: this.#options.demands(),
         allotmentSequence: this.#allotmentSequence,
@@ -306,7 +335,7 @@
   }
 }
 
-function replyOf(result: ProposalResult): ProposalReply {
+function toProposalReply(result: ProposalResult): ProposalReply {
   switch (result.outcome) {
     case ProposalOutcome.COMMITTED:
       return {
--- a/packages/daemon/src/entry/sessions/limits_registry.ts
+++ b/packages/daemon/src/entry/sessions/limits_registry.ts
@@ -2,21 +2,31 @@
 import type { ControlState } from "@teaselrouter/core/state/control_state.ts";
 import type { Allotment } from "@teaselrouter/messages/control.ts";
 
-/** This entry host's part of every workspace's contract. */
+/**
+ * Holds one limiter per workspace, which enforces this entry host's share of
+ * the workspace's contract.
+ */
 export class LimitsRegistry {
   #limiters = new Map<string, WorkspaceLimiter>();
 
-  follow(state: ControlState, now: number): void {
+  /** Passes changed contracts and the number of entry hosts to the limiters. */
+  updateContracts(state: ControlState, now: number): void {
     for (const contract of state.contracts.values()) {
-      this.limiter(contract.workspace, now)
+      this.getLimiter(contract.workspace, now)
         .setContract(contract, state.entryHosts.size, now);
     }
   }
 
-  /** `sentAt` is when the report that the allotment answers was sent. */
-  allot(allotment: Allotment, sentAt: number, now: number): void {
+  /**
+   * Applies the rates that the leader allotted to this host. `sentAt` is the
+   * time at which this host sent the report that the allotment answers. The
+   * grant is counted from then, so that the grant ends here no later than on
+   * the leader. The cap is counted from `now`, so that the cap ends here no
+   * earlier than on the leader.
+   */
+  setAllotments(allotment: Allotment, sentAt: number, now: number): void {
     for (const { workspace, rate } of allotment.allotments) {
-      this.limiter(workspace, now).setAllotment({
+      this.getLimiter(workspace, now).setAllotment({
         rate,
         grantUntil: sentAt + allotment.grantMilliseconds,
         capUntil: now + allotment.capMilliseconds,
@@ -24,6 +34,7 @@
     }
   }
 
+  /** Recent requests per second by workspace, without idle workspaces. */
   demands(now: number): { workspace: string; rate: number }[] {
     return [...this.#limiters]
       .map(([workspace, limiter]) => ({
@@ -33,7 +44,8 @@
       .filter(({ rate }) => rate > 0);
   }
 
-  limiter(workspace: string, now: number): WorkspaceLimiter {
+  /** Returns the workspace's limiter; creates it on first use. */
+  getLimiter(workspace: string, now: number): WorkspaceLimiter {
     let limiter = this.#limiters.get(workspace);
     if (limiter === undefined) {
       limiter = new WorkspaceLimiter(now);
--- a/packages/daemon/src/entry/sessions/permit_queue.ts
+++ b/packages/daemon/src/entry/sessions/permit_queue.ts
@@ -2,86 +2,102 @@
 import type { CommandOf } from "@teaselrouter/core/state/command_of.ts";
 import type { ControlSession } from "./control_session.ts";
 
-const PROPOSAL_MILLISECONDS = 3_000;
-const ASK_AGAIN_MILLISECONDS = 500;
-const FORGOTTEN_MILLISECONDS = 2_000;
+const PROPOSAL_TIMEOUT_MILLISECONDS = 3_000;
+const RETRY_INTERVAL_MILLISECONDS = 500;
+/** A request that its agent has not repeated for this long is dropped. */
+const REQUEST_EXPIRY_MILLISECONDS = 2_000;
 
 type Request = CommandOf<"request-permit">;
 
-type Waiting = {
+type QueuedRequest = {
   request: Request;
-  askedAt: number;
-  grant: (permit: PermitRow) => void;
+  requestedAt: number;
+  onGranted: (permit: PermitRow) => void;
 };
 
 /**
- * Agents of this entry host that wait for leave to load, by service. Only
- * the first of each service is proposed: when a spread ends, hundreds ask at
- * once, and all but a few would be refused by the log again and again.
+ * Queues the requests of this entry host's agents for permits to load new
+ * weights, by service. Only the first request of each service is proposed to
+ * the replicated log: when a spread ends, hundreds of agents ask at once, and
+ * the log would refuse all but a few of them again and again.
  */
 export class PermitQueue {
   #control: ControlSession;
-  #waiting = new Map<string, Waiting[]>();
-  #asking = new Set<string>();
+  #queues = new Map<string, QueuedRequest[]>();
+  #servicesInProgress = new Set<string>();
   #timer: NodeJS.Timeout;
 
   constructor(control: ControlSession) {
     this.#control = control;
-    control.changed$.subscribe(() => this.#askAll());
-    this.#timer = setInterval(() => this.#askAll(), ASK_AGAIN_MILLISECONDS);
+    control.changed$.subscribe(() => this.#proposeForAllServices());
+    this.#timer = setInterval(
+      () => this.#proposeForAllServices(),
+      RETRY_INTERVAL_MILLISECONDS,
+    );
   }
 
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** Agents ask again while they wait; each waits once. */
-  add(request: Request, grant: (permit: PermitRow) => void): void {
-    const waiting = this.#waiting.get(request.service) ?? [];
-    this.#waiting.set(request.service, waiting);
-    const known = waiting.find((one) =>
-      one.request.backendServer === request.backendServer
+  /**
+   * Queues a request and calls `onGranted` once the log grants a permit. Agents
+   * repeat their request while they wait; a repeated one replaces the earlier
+   * one in its place, so that each backend server is queued once.
+   */
+  add(request: Request, onGranted: (permit: PermitRow) => void): void {
+    const queue = this.#queues.get(request.service) ?? [];
+    this.#queues.set(request.service, queue);
+    const existing = queue.find((candidate) =>
+      candidate.request.backendServer === request.backendServer
     );
-    const entry = { request, grant, askedAt: Date.now() };
-    if (known === undefined) waiting.push(entry);
-    else Object.assign(known, entry);
-    this.#ask(request.service);
+    const queued = { request, onGranted, requestedAt: Date.now() };
+    if (existing === undefined) queue.push(queued);
+    else Object.assign(existing, queued);
+    this.#proposeForService(request.service);
   }
 
-  #askAll(): void {
-    for (const service of this.#waiting.keys()) this.#ask(service);
+  #proposeForAllServices(): void {
+    for (const service of this.#queues.keys()) this.#proposeForService(service);
   }
 
-  async #ask(service: string): Promise<void> {
-    if (this.#asking.has(service)) return;
-    this.#asking.add(service);
+  /** Proposes the requests of a service one by one until one must wait. */
+  async #proposeForService(service: string): Promise<void> {
+    if (this.#servicesInProgress.has(service)) return;
+    this.#servicesInProgress.add(service);
     try {
-      while (await this.#askFirst(service)) {
-        /* the next may be granted too */
+      while (await this.#proposeFirst(service)) {
+        /* The next request may be granted too. */
       }
     } finally {
-      this.#asking.delete(service);
+      this.#servicesInProgress.delete(service);
     }
   }
 
-  async #askFirst(service: string): Promise<boolean> {
-    const waiting = this.#waiting.get(service)!;
+  /**
+   * Proposes the first request of a service. Returns whether it was decided and
+   * so removed. The request stays queued if it was not committed, or was
+   * refused because too few backend servers would be left serving.
+   */
+  async #proposeFirst(service: string): Promise<boolean> {
+    const queue = this.#queues.get(service)!;
     const now = Date.now();
     while (
-      waiting.length > 0 && now - waiting[0]!.askedAt > FORGOTTEN_MILLISECONDS
-    ) waiting.shift();
-    const first = waiting[0];
+      queue.length > 0 &&
+      now - queue[0]!.requestedAt > REQUEST_EXPIRY_MILLISECONDS
+    ) queue.shift();
+    const first = queue[0];
     if (first === undefined) return false;
     const reply = await this.#control.propose(
       first.request,
-      PROPOSAL_MILLISECONDS,
+      PROPOSAL_TIMEOUT_MILLISECONDS,
     );
     if (reply.kind !== "committed") return false;
-    const refusedForShare = !reply.answer.accepted &&
+    const isRefusedForServingShare = !reply.answer.accepted &&
       reply.answer.reason === "serving-share-would-be-broken";
-    if (refusedForShare) return false;
-    waiting.splice(waiting.indexOf(first), 1);
-    if (reply.answer.accepted) first.grant(reply.answer.value as PermitRow);
+    if (isRefusedForServingShare) return false;
+    queue.splice(queue.indexOf(first), 1);
+    if (reply.answer.accepted) first.onGranted(reply.answer.value as PermitRow);
     return true;
   }
 }
--- a/packages/daemon/src/entry/sessions/proposal_reply.ts
+++ b/packages/daemon/src/entry/sessions/proposal_reply.ts
@@ -1,6 +1,6 @@
 import type { ChangeAnswer } from "@teaselrouter/core/state/change_answer.ts";
 
-/** What an entry host learns of a command that it had proposed. */
+/** The outcome of a command that an entry host proposed, as far as known. */
 export type ProposalReply =
   | {
     kind: "committed";
@@ -9,7 +9,7 @@
     inForce: boolean;
     hostsWithoutLease: string[];
   }
-  /** It was not and will not be accepted. */
+  /** The command was not accepted into the log and will not be. */
   | { kind: "not-proposed" }
-  /** It may have been accepted. */
+  /** The command may have been accepted into the log. */
   | { kind: "unknown" };
