--- a/packages/daemon/src/rollout/manifest_keeper.ts
+++ b/packages/daemon/src/rollout/manifest_keeper.ts
@@ -4,13 +4,13 @@
 import type { EventLog } from "../log/event_log.ts";
 import type { WeightStore } from "../platform/weight_store.ts";
 import { pause } from "../transport/pause.ts";
-import type { WeightsTargetRow } from "./weights_target_row.ts";
+import type { ServiceTarget } from "./service_target.ts";
 
-/** Versions start here; an operator names only later ones. */
+/** Versions are numbered from 1; an operator names only later ones. */
 const FIRST_VERSION = 1;
-const RETRY_MILLISECONDS = 200;
+const RETRY_INTERVAL_MILLISECONDS = 200;
 
-type Wanted = {
+type WantedManifest = {
   service: string;
   model: string;
   version: number;
@@ -23,42 +23,48 @@
   namedVersion: (model: string) => number | undefined;
 };
 
-/** Keeps the manifest of every version that is to be served. */
+/**
+ * Fetches and keeps the manifest of the version that each service's engines
+ * are to serve.
+ */
 export class ManifestKeeper {
-  readonly target$ = new Subject<WeightsTargetRow>();
+  readonly target$ = new Subject<ServiceTarget>();
   #options: Options;
-  /** By service. */
-  #targets = new Map<string, WeightsTargetRow>();
-  #fetching = new Map<string, string>();
-  #stopped = false;
+  /** Latest confirmed target of each service, by service name. */
+  #targets = new Map<string, ServiceTarget>();
+  #fetchKeys = new Map<string, string>();
+  #isStopped = false;
 
   constructor(options: Options) {
     this.#options = options;
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
-  get targets(): WeightsTargetRow[] {
+  get targets(): ServiceTarget[] {
     return [...this.#targets.values()];
   }
 
-  /** Called when the configuration or a named version may have changed. */
+  /**
+   * Starts to fetch the manifests of versions that are not known yet. Called
+   * when the configuration or a named version may have changed.
+   */
   review(configuration: RoutingConfiguration): void {
-    for (const wanted of this.#wanted(configuration)) {
+    for (const wanted of this.#listWantedManifests(configuration)) {
       const key = `${wanted.model}@${wanted.version} ${wanted.address}`;
-      const held = this.#targets.get(wanted.service);
-      if (held?.model === wanted.model && held.version >= wanted.version) {
+      const known = this.#targets.get(wanted.service);
+      if (known?.model === wanted.model && known.version >= wanted.version) {
         continue;
       }
-      if (this.#fetching.get(wanted.service) === key) continue;
-      this.#fetching.set(wanted.service, key);
-      this.#fetch(wanted, key);
+      if (this.#fetchKeys.get(wanted.service) === key) continue;
+      this.#fetchKeys.set(wanted.service, key);
+      this.#fetchUntilConfirmed(wanted, key);
     }
   }
 
-  #wanted({ services }: RoutingConfiguration): Wanted[] {
+  #listWantedManifests({ services }: RoutingConfiguration): WantedManifest[] {
     const address = services.find(({ weightStore }) => weightStore)
       ?.weightStore?.address;
     if (address === undefined) return [];
@@ -70,14 +76,17 @@
     });
   }
 
-  async #fetch(wanted: Wanted, key: string): Promise<void> {
+  async #fetchUntilConfirmed(
+    wanted: WantedManifest,
+    key: string,
+  ): Promise<void> {
     const { store, log } = this.#options;
     const { service, model, version, address } = wanted;
-    while (!this.#stopped && this.#fetching.get(service) === key) {
-      const manifest = await this.#fetchAlike(wanted);
-      if (this.#fetching.get(service) !== key) return;
+    while (!this.#isStopped && this.#fetchKeys.get(service) === key) {
+      const manifest = await this.#fetchConfirmed(wanted);
+      if (this.#fetchKeys.get(service) !== key) return;
       if (manifest !== undefined) {
-        this.#fetching.delete(service);
+        this.#fetchKeys.delete(service);
         const target = {
           service,
           model,
@@ -89,15 +98,18 @@
         log.info("weights-target", { service, model, version });
         return this.target$.next(target);
       }
-      await pause(RETRY_MILLISECONDS);
+      await pause(RETRY_INTERVAL_MILLISECONDS);
     }
   }
 
   /**
-   * A manifest that was spoilt on its way would make every good chunk look
-   * bad, for good: it is taken only when two reads in a row agree.
+   * Fetches the manifest twice in a row and returns it only if both reads
+   * agree; undefined otherwise. With a manifest that was corrupted in transit,
+   * every intact chunk would fail verification, permanently.
    */
-  async #fetchAlike(wanted: Wanted): Promise<WeightsManifest | undefined> {
+  async #fetchConfirmed(
+    wanted: WantedManifest,
+  ): Promise<WeightsManifest | undefined> {
     const { store, log } = this.#options;
     const { model, version, address } = wanted;
     const reads = [
--- a/packages/daemon/src/rollout/rollout_hub.ts
+++ b/packages/daemon/src/rollout/rollout_hub.ts
@@ -18,12 +18,13 @@
 import { StagerSession } from "./stager_session.ts";
 
 /**
- * Out at once in a data centre while a version is loaded: with more, the
- * others could not carry the load; with fewer, the last would be late.
+ * Share of a data centre's engines that may stop serving at the same time to
+ * load a version. With more, the remaining engines could not carry the load;
+ * with fewer, the last engines would load too late.
  */
-const OUT_SHARE = 0.4;
-/** Twice what an engine takes to end its work and to load. */
-const TURN_MILLISECONDS = 8_000;
+const MAX_LOADING_SHARE = 0.4;
+/** Twice the time in which an engine drains and loads. */
+const PERMIT_TIMEOUT_MILLISECONDS = 8_000;
 
 type Options = {
   host: string;
@@ -37,31 +38,31 @@
   namedAges: (model: string) => { version: number; ageMilliseconds: number }[];
 };
 
-type Centre = { coordinator: SpreadCoordinator; turns: LoadTurns };
+type DataCentreState = { coordinator: SpreadCoordinator; turns: LoadTurns };
 
 /**
- * A control host's side of bringing weights to engines. Stagers choose which
- * control host plans for them; this one keeps a plan for every data centre,
- * so that it can take over where the nearest is lost.
+ * The control host's part in distributing weights to engines. Stagers choose
+ * which control host plans for them. Each control host keeps a coordinator for
+ * every data centre, so that it can take over when the nearest one is lost.
  */
 export class RolloutHub {
   #options: Options;
-  #centres = new Map<string, Centre>();
-  /** The newest session of each stager. */
+  #states = new Map<string, DataCentreState>();
+  /** The latest session of each stager, by backend server name. */
   #sessions = new Map<string, StagerSession>();
 
   constructor(options: Options) {
     this.#options = options;
     options.manifests.target$.subscribe(({ manifest }) => {
-      for (const { coordinator } of this.#centres.values()) {
+      for (const { coordinator } of this.#states.values()) {
         coordinator.addVersion(manifest);
-        coordinator.keepVersions(this.#versions());
+        coordinator.keepVersions(this.#listTargetVersions());
       }
     });
   }
 
   stop(): void {
-    for (const { coordinator } of this.#centres.values()) coordinator.stop();
+    for (const { coordinator } of this.#states.values()) coordinator.stop();
     for (const session of this.#sessions.values()) session.close();
   }
 
@@ -72,7 +73,7 @@
         const session = new StagerSession({ ...this.#options, hub: this });
         const outgoing = toAsyncIterable(session.outgoing$);
         const reading = (async () => {
-          for await (const message of messages) session.take(message);
+          for await (const message of messages) session.handleMessage(message);
         })();
         reading
           .catch((error) => log.debug("stager-lost", { reason: `${error}` }))
@@ -82,14 +83,17 @@
     });
   }
 
-  /** A stager said who it is; an earlier session of it has no say any more. */
+  /**
+   * Registers a session once its stager has announced itself, and closes an
+   * earlier session of the same stager.
+   */
   addSession(session: StagerSession): void {
     const { backendServer, dataCentre } = session.announcement!;
     this.#sessions.get(backendServer)?.close();
     this.#sessions.set(backendServer, session);
     const { chunkAddress, linkBytesPerSecond } = session.announcement!;
-    this.#centreOf(dataCentre);
-    for (const { coordinator } of this.#centres.values()) {
+    this.#getOrCreateDataCentre(dataCentre);
+    for (const { coordinator } of this.#states.values()) {
       coordinator.addHost({
         backendServer,
         dataCentre,
@@ -100,58 +104,73 @@
     }
   }
 
+  /**
+   * Returns false, with no effect, if a later session of the same stager has
+   * replaced this one or the stager never announced itself.
+   */
   removeSession(session: StagerSession): boolean {
     const name = session.announcement?.backendServer ?? "";
     if (this.#sessions.get(name) !== session) return false;
     this.#sessions.delete(name);
-    for (const { coordinator, turns } of this.#centres.values()) {
+    for (const { coordinator, turns } of this.#states.values()) {
       coordinator.removeHost(name);
       turns.end(name);
     }
     return true;
   }
 
-  takeReport(session: StagerSession, report: ChunkReport): void {
+  recordReport(session: StagerSession, report: ChunkReport): void {
     const { backendServer, dataCentre } = session.announcement!;
-    for (const [name, { coordinator }] of this.#centres) {
+    for (const [name, { coordinator }] of this.#states) {
       const followsPlans = report.followsPlans && name === dataCentre;
       coordinator.takeReport(backendServer, { ...report, followsPlans });
     }
   }
 
-  takeTurn(session: StagerSession, wasServing: boolean, now: number): boolean {
+  /**
+   * Grants the session's stager a permit to load, unless too many engines of
+   * its data centre have stopped serving to load already. Returns whether the
+   * stager holds a permit.
+   *
+   * @param now monotonic milliseconds.
+   */
+  tryAcquirePermit(
+    session: StagerSession,
+    wasServing: boolean,
+    now: number,
+  ): boolean {
     const { backendServer, dataCentre } = session.announcement!;
     const hosts =
       [...this.#sessions.values()].filter((other) =>
         other.announcement?.dataCentre === dataCentre
       ).length;
-    return this.#centreOf(dataCentre).turns.take(backendServer, {
+    return this.#getOrCreateDataCentre(dataCentre).turns.take(backendServer, {
       hosts,
       wasServing,
       now,
     });
   }
 
-  endTurn(session: StagerSession): void {
+  releasePermit(session: StagerSession): void {
     const { backendServer, dataCentre } = session.announcement!;
-    this.#centreOf(dataCentre).turns.end(backendServer);
+    this.#getOrCreateDataCentre(dataCentre).turns.end(backendServer);
   }
 
-  #versions(): Set<string> {
+  #listTargetVersions(): Set<string> {
     const { targets } = this.#options.manifests;
     return new Set(targets.map(({ manifest }) => versionName(manifest)));
   }
 
-  #centreOf(dataCentre: string): Centre {
-    let centre = this.#centres.get(dataCentre);
+  #getOrCreateDataCentre(dataCentre: string): DataCentreState {
+    let centre = this.#states.get(dataCentre);
     if (centre === undefined) {
-      centre = this.#openCentre(dataCentre);
-      this.#centres.set(dataCentre, centre);
+      centre = this.#createDataCentre(dataCentre);
+      this.#states.set(dataCentre, centre);
     }
     return centre;
   }
 
-  #openCentre(dataCentre: string): Centre {
+  #createDataCentre(dataCentre: string): DataCentreState {
     const { weighing, manifests } = this.#options;
     const coordinator = new SpreadCoordinator({
       dataCentre,
@@ -173,10 +192,10 @@
         send: (message) => session.outgoing$.next(message),
       });
     }
-    const turns = new LoadTurns({
-      outShare: OUT_SHARE,
-      turnMilliseconds: TURN_MILLISECONDS,
+    const permits = new LoadTurns({
+      outShare: MAX_LOADING_SHARE,
+      turnMilliseconds: PERMIT_TIMEOUT_MILLISECONDS,
     });
-    return { coordinator, turns };
+    return { coordinator, turns: permits };
   }
 }
--- a/packages/daemon/src/rollout/spread_coordinator.ts
+++ b/packages/daemon/src/rollout/spread_coordinator.ts
@@ -13,13 +13,16 @@
 import { EntryToAgentSchema } from "@teaselrouter/messages/agent.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-const REPLAN_MILLISECONDS = 100;
-/** Reports of many hosts are planned for together. */
-const GATHER_MILLISECONDS = 10;
-/** A source that froze is back within seconds, and may hold what no other has. */
-const AVOID_MILLISECONDS = 1_500;
-const PEERS_TOLD = 8;
-const MOST_EARLY = 10_000;
+const REPLAN_INTERVAL_MILLISECONDS = 100;
+/** Reports of many hosts that arrive within this time lead to one plan. */
+const REPORT_BATCH_MILLISECONDS = 10;
+/**
+ * Short, because a source that froze recovers within seconds and may hold
+ * chunks that no other host has.
+ */
+const SOURCE_AVOIDANCE_MILLISECONDS = 1_500;
+const MAX_PEERS_PER_PLAN = 8;
+const MAX_EARLY_REPORTS = 10_000;
 
 type Host = {
   backendServer: string;
@@ -32,18 +35,19 @@
 type Options = { dataCentre: string; policy: SpreadPolicy };
 
 /**
- * Plans the spread within this entry host's data centre, for the agents that
- * chose it. All it knows is what agents reported: a new one starts from
- * their next reports.
+ * Plans chunk transfers to the hosts of one data centre, for the agents or
+ * stagers that chose this process as their coordinator. Its state consists
+ * only of what they reported: a new coordinator starts from their next
+ * reports.
  */
 export class SpreadCoordinator {
   #options: Options;
   #hosts = new Map<string, Host>();
   #tables = new Map<string, SpreadTable>();
-  /** Reports on versions that this entry host has not heard of yet. */
-  #early: { backendServer: string; report: ChunkReport }[] = [];
-  #planned = false;
-  /** Runs while a host here lacks something. */
+  /** Reports on versions that this process doesn't know yet. */
+  #earlyReports: { backendServer: string; report: ChunkReport }[] = [];
+  #isPlanScheduled = false;
+  /** Runs while a host that follows the plans lacks chunks. */
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
@@ -52,14 +56,17 @@
 
   stop(): void {
     this.#tables.clear();
-    this.#rest();
+    this.#stopReplanning();
   }
 
-  /** Begins a version's table; older versions' are kept until dropped. */
+  /**
+   * Starts to plan for a version, with the reports that arrived before it was
+   * known. Tables of older versions stay until `keepVersions` drops them.
+   */
   addVersion(manifest: WeightsManifest): void {
     const version = versionName(manifest);
     if (this.#tables.has(version)) return;
-    // What goes from host to host as one is one chunk to the plan.
+    // Hosts exchange whole blocks, so the plan treats a block as one chunk.
     const blocks = new WeightBlocks(manifest);
     this.#tables.set(
       version,
@@ -70,14 +77,14 @@
         dataCentre: this.#options.dataCentre,
       }),
     );
-    const early = this.#early;
-    this.#early = [];
+    const early = this.#earlyReports;
+    this.#earlyReports = [];
     for (const { backendServer, report } of early) {
       this.takeReport(backendServer, report);
     }
   }
 
-  /** Drops the tables of all versions but these. */
+  /** Stops planning for all versions except these. */
   keepVersions(versions: Set<string>): void {
     for (const version of [...this.#tables.keys()]) {
       if (!versions.has(version)) this.#tables.delete(version);
@@ -91,14 +98,14 @@
   removeHost(backendServer: string): void {
     this.#hosts.delete(backendServer);
     for (const table of this.#tables.values()) table.removeHost(backendServer);
-    this.#planSoon();
+    this.#schedulePlan();
   }
 
   takeReport(backendServer: string, report: ChunkReport): void {
     const host = this.#hosts.get(backendServer);
     const table = this.#tables.get(report.version);
     if (host === undefined) return;
-    if (table === undefined) return this.#keepEarly(backendServer, report);
+    if (table === undefined) return this.#deferReport(backendServer, report);
     if (report.whole || table.host(backendServer) === undefined) {
       table.setHost({
         host: backendServer,
@@ -111,7 +118,7 @@
     }
     const now = monotonicMilliseconds();
     for (const chunk of report.failed) {
-      const until = now + AVOID_MILLISECONDS;
+      const until = now + SOURCE_AVOIDANCE_MILLISECONDS;
       table.failTransfer(backendServer, chunk, { now, until });
     }
     for (const chunk of report.added) {
@@ -119,24 +126,26 @@
     }
     table.host(backendServer)!.followsPlans = report.followsPlans;
     table.noteHeard(backendServer);
-    this.#planSoon();
+    this.#schedulePlan();
   }
 
-  #keepEarly(backendServer: string, report: ChunkReport): void {
-    this.#early.push({ backendServer, report });
-    if (this.#early.length > MOST_EARLY) this.#early.shift();
+  #deferReport(backendServer: string, report: ChunkReport): void {
+    this.#earlyReports.push({ backendServer, report });
+    if (this.#earlyReports.length > MAX_EARLY_REPORTS) {
+      this.#earlyReports.shift();
+    }
   }
 
-  #planSoon(): void {
-    if (this.#planned) return;
-    this.#planned = true;
+  #schedulePlan(): void {
+    if (this.#isPlanScheduled) return;
+    this.#isPlanScheduled = true;
     setTimeout(() => {
-      this.#planned = false;
+      this.#isPlanScheduled = false;
       this.#plan();
-    }, GATHER_MILLISECONDS);
+    }, REPORT_BATCH_MILLISECONDS);
   }
 
-  #rest(): void {
+  #stopReplanning(): void {
     clearInterval(this.#timer);
     this.#timer = undefined;
   }
@@ -144,19 +153,22 @@
   #plan(): void {
     const now = monotonicMilliseconds();
     const hasWork = [...this.#tables.values()].some((table) => table.hasWork);
-    if (!hasWork) return this.#rest();
-    this.#timer ??= setInterval(() => this.#plan(), REPLAN_MILLISECONDS);
+    if (!hasWork) return this.#stopReplanning();
+    this.#timer ??= setInterval(
+      () => this.#plan(),
+      REPLAN_INTERVAL_MILLISECONDS,
+    );
     for (const table of this.#tables.values()) {
       if (!table.hasWork) continue;
       table.endOverdue(now);
       const assignments = this.#options.policy.plan(table, now);
       for (const [host, orders] of groupByHost(assignments)) {
-        this.#send(table, host, orders);
+        this.#sendPlan(table, host, orders);
       }
     }
   }
 
-  #send(table: SpreadTable, host: string, orders: ChunkAssignment[]): void {
+  #sendPlan(table: SpreadTable, host: string, orders: ChunkAssignment[]): void {
     this.#hosts.get(host)?.send(create(EntryToAgentSchema, {
       body: {
         case: "plan",
@@ -166,19 +178,19 @@
             chunk,
             source: table.host(source)?.address ?? "",
           })),
-          peers: this.#peersFor(table, host),
+          peers: this.#listPeersFor(table, host),
         },
       },
     }));
   }
 
-  #peersFor(table: SpreadTable, host: string): string[] {
+  #listPeersFor(table: SpreadTable, host: string): string[] {
     return table.hosts
       .filter((row) =>
         row.host !== host && row.dataCentre === table.dataCentre &&
         row.held.count > 0
       )
-      .slice(0, PEERS_TOLD)
+      .slice(0, MAX_PEERS_PER_PLAN)
       .map((row) => row.address);
   }
 }
--- a/packages/daemon/src/rollout/stager_session.ts
+++ b/packages/daemon/src/rollout/stager_session.ts
@@ -19,11 +19,14 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { ManifestKeeper } from "./manifest_keeper.ts";
 import type { RolloutHub } from "./rollout_hub.ts";
-import type { WeightsTargetRow } from "./weights_target_row.ts";
+import type { ServiceTarget } from "./service_target.ts";
 
-/** Two in what a stager bears in silence. */
+/**
+ * A stager drops the connection after 3,000 ms of silence; two heartbeats fit
+ * into that time.
+ */
 const HEARTBEAT_MILLISECONDS = 1_400;
-const SILENT_MILLISECONDS = 3_000;
+const SILENCE_TIMEOUT_MILLISECONDS = 3_000;
 
 type Options = {
   host: string;
@@ -37,58 +40,64 @@
   namedAges: (model: string) => { version: number; ageMilliseconds: number }[];
 };
 
-/** The control side of one stager's stream. */
+/**
+ * The control host's end of a stager's stream. Closes when the stager has been
+ * silent for too long.
+ */
 export class StagerSession {
   readonly outgoing$ = new Subject<EntryToAgent>();
   announcement: Announcement | undefined;
   #options: Options;
-  #heardAt = monotonicMilliseconds();
+  #lastMessageAt = monotonicMilliseconds();
   #subscriptions = new Subscription();
-  #timer: NodeJS.Timeout;
+  #heartbeatTimer: NodeJS.Timeout;
   #isClosed = false;
 
   constructor(options: Options) {
     this.#options = options;
-    this.#timer = setInterval(() => this.#beat(), HEARTBEAT_MILLISECONDS);
+    this.#heartbeatTimer = setInterval(
+      () => this.#sendHeartbeat(),
+      HEARTBEAT_MILLISECONDS,
+    );
     this.#subscriptions.add(
-      options.manifests.target$.subscribe((target) => this.#tell(target)),
+      options.manifests.target$.subscribe((target) => this.#sendTarget(target)),
     );
   }
 
-  take(message: AgentToEntry): void {
+  handleMessage(message: AgentToEntry): void {
     if (this.#isClosed) return;
-    this.#heardAt = monotonicMilliseconds();
+    this.#lastMessageAt = monotonicMilliseconds();
     const { body } = message;
-    if (body.case === "announcement") return this.#takeAnnouncement(body.value);
+    if (body.case === "announcement") return this.#onAnnouncement(body.value);
     if (this.announcement === undefined) return;
     const { hub } = this.#options;
     switch (body.case) {
       case "chunks":
-        return hub.takeReport(this, body.value);
+        return hub.recordReport(this, body.value);
       case "permitRequest":
-        return this.#takePermitRequest(body.value);
+        return this.#onPermitRequest(body.value);
       case "loadSettled":
-        return hub.endTurn(this);
+        return hub.releasePermit(this);
       case "load":
-        return this.#takeLoad(body.value);
+        return this.#onLoad(body.value);
     }
   }
 
   close(): void {
     if (this.#isClosed) return;
     this.#isClosed = true;
-    clearInterval(this.#timer);
+    clearInterval(this.#heartbeatTimer);
     this.#subscriptions.unsubscribe();
     this.outgoing$.complete();
     if (!this.#options.hub.removeSession(this)) return;
-    // What it said of its engine may not be true for long.
-    this.#notice({ agentGone: true });
+    // Without the stager, its last announcement may soon be out of date.
+    this.#publishNotice({ agentGone: true });
   }
 
-  #takeAnnouncement(announcement: Announcement): void {
+  #onAnnouncement(announcement: Announcement): void {
     const isFirst = this.announcement === undefined;
     this.announcement = announcement;
-    this.#notice({ agentGone: false });
+    this.#publishNotice({ agentGone: false });
     if (!isFirst) return;
     const { hub, log, manifests } = this.#options;
     log.info("stager-followed", {
@@ -96,23 +105,23 @@
       engine: announcement.engineAddress,
     });
     hub.addSession(this);
-    this.#beat();
-    for (const target of manifests.targets) this.#tell(target);
+    this.#sendHeartbeat();
+    for (const target of manifests.targets) this.#sendTarget(target);
   }
 
-  #notice({ agentGone }: { agentGone: boolean }): void {
-    const said = this.announcement!;
+  #publishNotice({ agentGone }: { agentGone: boolean }): void {
+    const announcement = this.announcement!;
     this.#options.notice(create(EngineNoticeSchema, {
-      engineAddress: said.engineAddress,
-      accepting: said.accepting,
-      servingVersion: said.servingVersion,
-      sequence: said.sequence,
-      engineBornAt: said.engineBornAt,
+      engineAddress: announcement.engineAddress,
+      accepting: announcement.accepting,
+      servingVersion: announcement.servingVersion,
+      sequence: announcement.sequence,
+      engineBornAt: announcement.engineBornAt,
       agentGone,
     }));
   }
 
-  #takeLoad({ running, queued }: LoadReport): void {
+  #onLoad({ running, queued }: LoadReport): void {
     this.#options.noteLoad(create(EngineLoadSchema, {
       engineAddress: this.announcement!.engineAddress,
       running,
@@ -120,14 +129,14 @@
     }));
   }
 
-  #takePermitRequest({ version, wasServing }: PermitRequest): void {
+  #onPermitRequest({ version, wasServing }: PermitRequest): void {
     const { hub } = this.#options;
     const now = monotonicMilliseconds();
-    if (!hub.takeTurn(this, wasServing, now)) return;
+    if (!hub.tryAcquirePermit(this, wasServing, now)) return;
     this.#send({ case: "permit", value: { version, fencingToken: 0 } });
   }
 
-  #tell(target: WeightsTargetRow): void {
+  #sendTarget(target: ServiceTarget): void {
     if (target.service !== this.announcement?.service) return;
     const { manifest, model, store, version } = target;
     this.#send({
@@ -144,9 +153,9 @@
     });
   }
 
-  #beat(): void {
-    const silence = monotonicMilliseconds() - this.#heardAt;
-    if (silence > SILENT_MILLISECONDS) return this.close();
+  #sendHeartbeat(): void {
+    const silence = monotonicMilliseconds() - this.#lastMessageAt;
+    if (silence > SILENCE_TIMEOUT_MILLISECONDS) return this.close();
     const { host, dataCentre, controlAddresses } = this.#options;
     this.#send({
       case: "heartbeat",
--- a/packages/daemon/src/spread/chunk_fetcher.ts
+++ b/packages/daemon/src/spread/chunk_fetcher.ts
@@ -9,21 +9,24 @@
 type Options = {
   dataCentre: string;
   pacer: LinkPacer;
-  /** How the weight store is asked. */
+  /** How chunks are requested from the weight store. */
   storeFormat: WeightStoreFormat;
 };
 
-type Want = {
+type FetchRequest = {
   manifest: WeightsManifest;
   store: string;
-  /** Of one block, in order. */
+  /** Chunks of one block, in order. */
   chunks: number[];
-  /** Another agent's chunk address; empty for the origin. */
+  /** Chunk address of another host; empty for the origin. */
   source: string;
   signal: AbortSignal;
 };
 
-/** Fetches chunks of a block from another agent or from the origin. */
+/**
+ * Fetches chunks of a block from another host's agent or stager, or from the
+ * origin, which is the weight store.
+ */
 export class ChunkFetcher {
   #options: Options;
 
@@ -31,20 +34,24 @@
     this.#options = options;
   }
 
-  /** The chunks one behind the other. */
-  fetch(want: Want): Promise<Result<Buffer, string>> {
-    return want.source === "" ? this.#draw(want) : this.#fetchFromPeer(want);
+  /** Returns the bytes of the chunks, concatenated in order. */
+  fetch(request: FetchRequest): Promise<Result<Buffer, string>> {
+    return request.source === ""
+      ? this.#fetchFromOrigin(request)
+      : this.#fetchFromPeer(request);
   }
 
-  /** The store gives one chunk at a time. */
-  async #draw(want: Want): Promise<Result<Buffer, string>> {
-    const { manifest, chunks, signal, store } = want;
+  /** The weight store serves one chunk per request. */
+  async #fetchFromOrigin(
+    request: FetchRequest,
+  ): Promise<Result<Buffer, string>> {
+    const { manifest, chunks, signal, store } = request;
     const { pacer, storeFormat } = this.#options;
     const parts: Buffer[] = [];
     for (const chunk of chunks) {
       const part = await fetchBytes({
         ...storeFormat.chunkRequest(store, manifest, chunk),
-        expectedBytes: bytesOf(manifest, chunk),
+        expectedBytes: chunkSizeBytes(manifest, chunk),
         pacer,
         signal,
         isFromStore: true,
@@ -55,15 +62,15 @@
     return Result.ok(Buffer.concat(parts));
   }
 
-  #fetchFromPeer(want: Want): Promise<Result<Buffer, string>> {
-    const { manifest, chunks, signal, source } = want;
+  #fetchFromPeer(request: FetchRequest): Promise<Result<Buffer, string>> {
+    const { manifest, chunks, signal, source } = request;
     const { dataCentre, pacer } = this.#options;
     const version = encodeURIComponent(versionName(manifest));
     return fetchBytes({
       url: `http://${source}/chunks/${version}/${chunks.join(",")}`,
       headers: { "Teaselrouter-Data-Centre": dataCentre },
       expectedBytes: chunks.reduce(
-        (sum, chunk) => sum + bytesOf(manifest, chunk),
+        (sum, chunk) => sum + chunkSizeBytes(manifest, chunk),
         0,
       ),
       pacer,
@@ -73,7 +80,7 @@
   }
 }
 
-function bytesOf(manifest: WeightsManifest, chunk: number): number {
+function chunkSizeBytes(manifest: WeightsManifest, chunk: number): number {
   const { chunk_bytes, total_bytes } = manifest;
   return Math.min(chunk_bytes, total_bytes - chunk * chunk_bytes);
 }
--- a/packages/daemon/src/spread/chunk_sender.ts
+++ b/packages/daemon/src/spread/chunk_sender.ts
@@ -5,64 +5,78 @@
 import type { WeightsCache } from "./weights_cache.ts";
 
 const SLICE_BYTES = 65_536;
-/** In one exchange. */
-const MOST_CHUNKS = 64;
+const MAX_CHUNKS_PER_REQUEST = 64;
 
 type Options = {
   dataCentre: string;
   cache: WeightsCache;
-  /** This host's link. */
+  /** Limits everything that this sender sends over the host's link. */
   link: LinkPacer;
-  /** What this host may send to each other data centre; 0 is not limited. */
+  /** Rate limit towards each other data centre; 0 for no limit. */
   regionBytesPerSecond: number;
-  /** Sent at a time: what a live answer may have to wait behind. */
+  /** Sent at once; a live response may have to wait behind it. */
   sliceBytes?: number;
 };
 
-/** Gives chunks to other agents, within this host's share of the links. */
+/**
+ * Sends chunks to other hosts, limited to this host's share of its own link
+ * and of the links to other data centres.
+ */
 export class ChunkSender {
   #options: Options;
-  #regionLinks = new Map<string, LinkPacer>();
+  #regionPacers = new Map<string, LinkPacer>();
 
   constructor(options: Options) {
     this.#options = options;
   }
 
-  /** Answers GET /chunks/{version}/{chunk,chunk}, given as its parts. */
+  /**
+   * Answers GET /chunks/{version}/{chunk,chunk}.
+   *
+   * @param pathSegments decoded: "chunks", the version, the chunk numbers.
+   */
   async send(
     request: IncomingMessage,
     response: ServerResponse,
-    parts: string[],
+    pathSegments: string[],
   ): Promise<void> {
-    const bytes = this.#bytesOf(parts[1] ?? "", parts[2] ?? "");
+    const bytes = this.#readChunks(
+      pathSegments[1] ?? "",
+      pathSegments[2] ?? "",
+    );
     if (bytes === undefined) {
       response.writeHead(404).end();
       return;
     }
     const { dataCentre, link } = this.#options;
     const header = request.headers["teaselrouter-data-centre"];
-    const to = typeof header === "string" ? header : dataCentre;
-    const pacers = to === dataCentre ? [link] : [link, this.#regionLink(to)];
+    const destination = typeof header === "string" ? header : dataCentre;
+    const pacers = destination === dataCentre
+      ? [link]
+      : [link, this.#getRegionPacer(destination)];
     response.writeHead(200, { "Content-Length": bytes.length });
     await this.#sendPaced(response, bytes, pacers);
     response.end();
   }
 
-  /** Undefined where one of the chunks is not held. */
-  #bytesOf(version: string, chunks: string): Buffer | undefined {
+  /**
+   * Undefined if one of the chunks is not in the cache, or if more are asked
+   * for than one request may fetch.
+   */
+  #readChunks(version: string, chunks: string): Buffer | undefined {
     const numbers = chunks.split(",").map(Number);
-    if (numbers.length > MOST_CHUNKS) return undefined;
+    if (numbers.length > MAX_CHUNKS_PER_REQUEST) return undefined;
     const found = numbers.flatMap((chunk) =>
       this.#options.cache.chunk(version, chunk) ?? []
     );
     return found.length === numbers.length ? Buffer.concat(found) : undefined;
   }
 
-  #regionLink(dataCentre: string): LinkPacer {
-    let pacer = this.#regionLinks.get(dataCentre);
+  #getRegionPacer(dataCentre: string): LinkPacer {
+    let pacer = this.#regionPacers.get(dataCentre);
     if (pacer === undefined) {
       pacer = new LinkPacer(this.#options.regionBytesPerSecond);
-      this.#regionLinks.set(dataCentre, pacer);
+      this.#regionPacers.set(dataCentre, pacer);
     }
     return pacer;
   }
--- a/packages/daemon/src/spread/fetch_bytes.ts
+++ b/packages/daemon/src/spread/fetch_bytes.ts
@@ -3,14 +3,14 @@
 import { Result } from "true-myth";
 import type { LinkPacer } from "./link_pacer.ts";
 
-const STALLED_MILLISECONDS = 1_500;
-const connections = new Agent({ keepAlive: true, maxSockets: 16 });
+const STALL_TIMEOUT_MILLISECONDS = 1_500;
+const peerAgent = new Agent({ keepAlive: true, maxSockets: 16 });
 
 /**
- * The weight store takes few connections from all hosts together: one kept
- * idle here would be refused to a host that needs it.
+ * The weight store accepts few connections from all hosts together. An idle
+ * connection kept open here would take one from a host that needs it.
  */
-const storeConnections = new Agent({ keepAlive: false, maxSockets: 4 });
+const storeAgent = new Agent({ keepAlive: false, maxSockets: 4 });
 
 type Options = {
   url: string;
@@ -18,13 +18,14 @@
   expectedBytes: number;
   pacer: LinkPacer;
   signal: AbortSignal;
-  /** Whether it comes from the weight store, not from another host. */
+  /** Whether `url` is at the weight store, not at another host. */
   isFromStore: boolean;
 };
 
 /**
- * Fetches bytes by HTTP, paced by this host's link. A source that stops
- * sending without closing is given up: the chunk comes from another.
+ * Fetches exactly `expectedBytes` over HTTP at the rate that `pacer` allows.
+ * Fails with a short reason. A source that stops sending without closing the
+ * connection fails as stalled, so that the caller can try another source.
  */
 export function fetchBytes(options: Options): Promise<Result<Buffer, string>> {
   const { url, headers, expectedBytes, pacer, signal } = options;
@@ -35,14 +36,14 @@
       clearTimeout(timer);
       resolve(result);
     };
-    const agent = options.isFromStore ? storeConnections : connections;
+    const agent = options.isFromStore ? storeAgent : peerAgent;
     const request = get(url, { agent, headers, signal });
     const fail = (reason: string) => {
       settle(Result.err(reason));
       request.destroy();
     };
-    const stalled = () => fail("stalled");
-    let timer = setTimeout(stalled, STALLED_MILLISECONDS);
+    const onStall = () => fail("stalled");
+    let timer = setTimeout(onStall, STALL_TIMEOUT_MILLISECONDS);
     request.on("error", (error) => settle(Result.err(error.message)));
     request.on("close", () => settle(Result.err("closed")));
     request.on("response", (response) => {
@@ -53,15 +54,15 @@
         parts.push(part);
         bytes += part.length;
         if (bytes > expectedBytes) return fail("too-long");
-        const wait = pacer.delayOf(part.length);
-        if (wait === 0) return;
-        // What this host holds back itself is no silence of the source.
+        const delayMilliseconds = pacer.reserve(part.length);
+        if (delayMilliseconds === 0) return;
+        // Pacing on this host must not count as a stall of the source.
         clearTimeout(timer);
         response.pause();
         setTimeout(() => {
-          timer = setTimeout(stalled, STALLED_MILLISECONDS);
+          timer = setTimeout(onStall, STALL_TIMEOUT_MILLISECONDS);
           response.resume();
-        }, wait);
+        }, delayMilliseconds);
       });
       response.on("error", (error) => settle(Result.err(error.message)));
       response.on("end", () => {
--- a/packages/daemon/src/spread/link_pacer.ts
+++ b/packages/daemon/src/spread/link_pacer.ts
@@ -1,8 +1,8 @@
 import { pause } from "../transport/pause.ts";
 
-const LEAD_MILLISECONDS = 10;
+const MAX_LEAD_MILLISECONDS = 10;
 
-/** Keeps a link's traffic to a rate; 0 bytes a second is not limited. */
+/** Limits traffic on a link to a rate; 0 bytes per second for no limit. */
 export class LinkPacer {
   #bytesPerSecond: number;
   #freeAt = 0;
@@ -11,18 +11,22 @@
     this.#bytesPerSecond = bytesPerSecond;
   }
 
-  /** Waits until `bytes` may pass. */
+  /** Waits until the link has capacity for `bytes`. */
   async take(bytes: number): Promise<void> {
-    const wait = this.delayOf(bytes);
-    if (wait > 0) await pause(wait);
+    const delayMilliseconds = this.reserve(bytes);
+    if (delayMilliseconds > 0) await pause(delayMilliseconds);
   }
 
-  /** Counts `bytes` in; how long they have to wait, milliseconds. */
-  delayOf(bytes: number): number {
+  /**
+   * Reserves the link for `bytes` and returns how long the caller has to wait
+   * before it goes on, milliseconds. Callers may run ahead of the rate by up
+   * to `MAX_LEAD_MILLISECONDS`.
+   */
+  reserve(bytes: number): number {
     if (this.#bytesPerSecond === 0) return 0;
     const now = performance.now();
     const begin = Math.max(now, this.#freeAt);
     this.#freeAt = begin + bytes * 1_000 / this.#bytesPerSecond;
-    return Math.max(0, this.#freeAt - now - LEAD_MILLISECONDS);
+    return Math.max(0, this.#freeAt - now - MAX_LEAD_MILLISECONDS);
   }
 }
--- a/packages/daemon/src/spread/range_store_format.ts
+++ b/packages/daemon/src/spread/range_store_format.ts
@@ -1,6 +1,6 @@
 import type { WeightStoreFormat } from "../platform/weight_store_format.ts";
 
-/** A weight store that serves a version as one file, by ranges. */
+/** For weight stores that serve a version as one file with range requests. */
 export const rangeStoreFormat: WeightStoreFormat = {
   chunkRequest(store, manifest, chunk) {
     const first = chunk * manifest.chunk_bytes;
--- a/packages/daemon/src/spread/spread_client.ts
+++ b/packages/daemon/src/spread/spread_client.ts
@@ -10,12 +10,12 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
 const ORIGIN = "";
-const UNPLANNED_MILLISECONDS = 2_000;
-const FORGOTTEN_MILLISECONDS = 30_000;
-const CHECK_MILLISECONDS = 250;
-const UNPLANNED_FETCHES = 2;
-const MOST_FETCHES = 16;
-const ASIDE_MILLISECONDS = 10_000;
+const NO_COORDINATOR_TIMEOUT_MILLISECONDS = 2_000;
+const IDLE_COORDINATOR_TIMEOUT_MILLISECONDS = 30_000;
+const CHECK_INTERVAL_MILLISECONDS = 250;
+const MAX_UNPLANNED_FETCHES = 2;
+const MAX_CONCURRENT_FETCHES = 16;
+const SOURCE_AVOIDANCE_MILLISECONDS = 10_000;
 
 type Target = {
   manifest: WeightsManifest;
@@ -25,8 +25,8 @@
   stop: AbortController;
 };
 
-/** In blocks. */
-type Change = { version: string; added: number[]; failed: number[] };
+/** Numbers of blocks that were fetched, or whose fetch failed. */
+type BlockChange = { version: string; added: number[]; failed: number[] };
 
 type Options = {
   cache: WeightsCache;
@@ -34,25 +34,28 @@
   log: EventLog;
   metrics: StatsD;
   random: () => number;
-  /** Whether an entry host that plans for this agent is connected. */
+  /**
+   * Whether the entry host or control host that plans for this host is
+   * connected.
+   */
   hasCoordinator: () => boolean;
 };
 
 /**
- * Brings a version's blocks to this host: by a coordinator's plan, and by
- * itself among the peers it knows when no plan comes.
+ * Fetches the blocks of the target version to this host: as the coordinator's
+ * plans say, and without plans from the origin and the last known peers.
  */
 export class SpreadClient {
-  /** Blocks that came in or could not be had. */
-  readonly changed$ = new Subject<Change>();
+  /** Blocks that were fetched, or whose fetch failed. */
+  readonly changed$ = new Subject<BlockChange>();
   originBytes = 0;
   #options: Options;
   #target: Target | undefined;
   #fetching = new Set<number>();
   #peers: string[] = [];
   #plannedAt = 0;
-  #aside = new Map<string, number>();
-  /** Runs while chunks are missing. */
+  #avoidedUntil = new Map<string, number>();
+  /** Runs while the target version is incomplete. */
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
@@ -64,7 +67,10 @@
     this.#target?.stop.abort();
   }
 
-  /** Since when the target is known here, milliseconds. */
+  /**
+   * When this host received the target, monotonic milliseconds; the current
+   * time without a target.
+   */
   get targetSince(): number {
     return this.#target?.startedAt ?? monotonicMilliseconds();
   }
@@ -73,18 +79,30 @@
     return this.#target?.version ?? "";
   }
 
-  /** Turns to a version; what an overtaken one was fetching is left. */
+  /**
+   * Starts to fetch a version, and aborts the fetches of the version that it
+   * supersedes.
+   */
   setTarget(manifest: WeightsManifest, store: string): void {
     const version = versionName(manifest);
     if (this.#target?.version === version) return;
     this.#target?.stop.abort();
     this.#fetching = new Set();
     const startedAt = monotonicMilliseconds();
-    const stop = new AbortController();
-    this.#target = { manifest, version, store, startedAt, stop };
+    const abortController = new AbortController();
+    this.#target = {
+      manifest,
+      version,
+      store,
+      startedAt,
+      stop: abortController,
+    };
     this.#plannedAt = startedAt;
     this.#options.cache.begin(manifest);
-    this.#timer ??= setInterval(() => this.#goOnAlone(), CHECK_MILLISECONDS);
+    this.#timer ??= setInterval(
+      () => this.#fetchUnplanned(),
+      CHECK_INTERVAL_MILLISECONDS,
+    );
   }
 
   takePlan(plan: SpreadPlan): void {
@@ -97,7 +115,7 @@
     }
   }
 
-  #goOnAlone(): void {
+  #fetchUnplanned(): void {
     const target = this.#target;
     if (target === undefined) return;
     const { cache } = this.#options;
@@ -107,31 +125,32 @@
       this.#timer = undefined;
       return;
     }
-    if (this.#fetching.size > 0 || this.#isPlanned()) return;
+    if (this.#fetching.size > 0 || this.#isWaitingForPlan()) return;
     const missing = cache.blocks(target.version)!.missingIn(held);
     const { random } = this.#options;
-    for (let count = 0; count < UNPLANNED_FETCHES; count += 1) {
+    for (let count = 0; count < MAX_UNPLANNED_FETCHES; count += 1) {
       const block = missing[Math.floor(random() * missing.length)]!;
       this.#fetch(target, block, this.#pickSource());
     }
   }
 
   /**
-   * A coordinator that is there may have nothing to order for a while, as
-   * when a chunk waits for a thin link: drawing it from the origin then would
-   * cost a second copy. Only one that is gone is not waited for.
+   * Whether to go on waiting for a plan. A connected coordinator may send no
+   * plan for a while, as when a chunk is delayed on a slow link: fetching the
+   * chunk from the origin then would cost a second copy. A coordinator that is
+   * not connected is given up much sooner.
    */
-  #isPlanned(): boolean {
-    const patience = this.#options.hasCoordinator()
-      ? FORGOTTEN_MILLISECONDS
-      : UNPLANNED_MILLISECONDS;
-    return monotonicMilliseconds() - this.#plannedAt < patience;
+  #isWaitingForPlan(): boolean {
+    const timeoutMilliseconds = this.#options.hasCoordinator()
+      ? IDLE_COORDINATOR_TIMEOUT_MILLISECONDS
+      : NO_COORDINATOR_TIMEOUT_MILLISECONDS;
+    return monotonicMilliseconds() - this.#plannedAt < timeoutMilliseconds;
   }
 
   #pickSource(): string {
     const now = monotonicMilliseconds();
     const usable = [...this.#peers, ORIGIN].filter((source) =>
-      (this.#aside.get(source) ?? 0) < now
+      (this.#avoidedUntil.get(source) ?? 0) < now
     );
     const index = Math.floor(this.#options.random() * usable.length);
     return usable[index] ?? ORIGIN;
@@ -144,31 +163,34 @@
       cache.chunk(version, chunk) === undefined
     );
     if (chunks.length === 0) {
-      return this.#tell(target, { added: [block], failed: [] });
+      return this.#emitChange(target, { added: [block], failed: [] });
     }
     if (this.#fetching.has(block)) return;
-    if (this.#fetching.size >= MOST_FETCHES) {
-      return this.#tell(target, { added: [], failed: [block] });
+    if (this.#fetching.size >= MAX_CONCURRENT_FETCHES) {
+      return this.#emitChange(target, { added: [], failed: [block] });
     }
     this.#fetching.add(block);
     const { signal } = stop;
-    const want = { manifest, store, chunks, source, signal };
-    const bytes = await fetcher.fetch(want);
+    const request = { manifest, store, chunks, source, signal };
+    const bytes = await fetcher.fetch(request);
     if (signal.aborted) return;
     this.#fetching.delete(block);
     const reason = bytes.isOk
-      ? this.#takeChunks(target, chunks, bytes.value)
+      ? this.#storeChunks(target, chunks, bytes.value)
       : bytes.error;
-    if (bytes.isOk && source === ORIGIN) this.#countDrawn(bytes.value.length);
+    if (bytes.isOk && source === ORIGIN) this.#countOrigin(bytes.value.length);
     if (reason === undefined) {
-      this.#noteWhenComplete(target);
-      return this.#tell(target, { added: [block], failed: [] });
+      this.#reportIfComplete(target);
+      return this.#emitChange(target, { added: [block], failed: [] });
     }
-    this.#noteFailure(target, { block, source, reason });
+    this.#handleFailure(target, { block, source, reason });
   }
 
-  /** Keeps what is good; gives back why not all of it is. */
-  #takeChunks(
+  /**
+   * Stores the chunks whose digests match. Returns the reason for the failure
+   * if one doesn't match, otherwise undefined.
+   */
+  #storeChunks(
     { manifest, version }: Target,
     chunks: number[],
     bytes: Buffer,
@@ -184,12 +206,12 @@
     return bad === 0 ? undefined : "digest-differs";
   }
 
-  #countDrawn(bytes: number): void {
+  #countOrigin(bytes: number): void {
     this.originBytes += bytes;
     this.#options.metrics.increment("weights.origin_bytes", bytes);
   }
 
-  #noteFailure(
+  #handleFailure(
     target: Target,
     { block, source, reason }: {
       block: number;
@@ -203,11 +225,14 @@
       source: source || "origin",
       reason,
     });
-    this.#aside.set(source, monotonicMilliseconds() + ASIDE_MILLISECONDS);
-    this.#tell(target, { added: [], failed: [block] });
+    this.#avoidedUntil.set(
+      source,
+      monotonicMilliseconds() + SOURCE_AVOIDANCE_MILLISECONDS,
+    );
+    this.#emitChange(target, { added: [], failed: [block] });
   }
 
-  #noteWhenComplete(target: Target): void {
+  #reportIfComplete(target: Target): void {
     const { cache, log, metrics } = this.#options;
     if (!cache.isComplete(target.version)) return;
     const milliseconds = monotonicMilliseconds() - target.startedAt;
@@ -219,7 +244,10 @@
     });
   }
 
-  #tell(target: Target, change: { added: number[]; failed: number[] }): void {
+  #emitChange(
+    target: Target,
+    change: { added: number[]; failed: number[] },
+  ): void {
     this.changed$.next({ version: target.version, ...change });
   }
 }
--- a/packages/daemon/src/spread/weights_cache.ts
+++ b/packages/daemon/src/spread/weights_cache.ts
@@ -5,7 +5,7 @@
 import type { Buffer } from "node:buffer";
 import { createHash } from "node:crypto";
 
-type Version = {
+type CachedVersion = {
   manifest: WeightsManifest;
   blocks: WeightBlocks;
   held: ChunkSet;
@@ -14,20 +14,24 @@
 
 /** The weights that this host holds, by version; every chunk is verified. */
 export class WeightsCache {
-  #versions = new Map<string, Version>();
+  #versions = new Map<string, CachedVersion>();
 
-  /** Begins a version, with the chunks that other versions have in common. */
+  /**
+   * Adds a version, together with the chunks that it shares with versions
+   * already held. Returns the set of held chunks, which later additions
+   * update. A version that is already known stays as it is.
+   */
   begin(manifest: WeightsManifest): ChunkSet {
     const name = versionName(manifest);
     const known = this.#versions.get(name);
     if (known !== undefined) return known.held;
-    const version: Version = {
+    const version: CachedVersion = {
       manifest,
       blocks: new WeightBlocks(manifest),
       held: new ChunkSet(manifest.chunks.length),
       chunks: new Array(manifest.chunks.length),
     };
-    const byDigest = this.#chunksByDigest();
+    const byDigest = this.#indexByDigest();
     manifest.chunks.forEach((digest, chunk) => {
       const bytes = byDigest.get(digest);
       if (bytes === undefined) return;
@@ -46,7 +50,10 @@
     return this.#versions.get(version)?.blocks;
   }
 
-  /** Blocks of a version that are whole here; none of one not begun. */
+  /**
+   * Blocks of a version of which every chunk is held; empty for a version that
+   * is not in the cache.
+   */
   wholeBlocks(version: string): number[] {
     const known = this.#versions.get(version);
     return known === undefined ? [] : known.blocks.wholeIn(known.held);
@@ -64,7 +71,10 @@
     return this.#versions.get(version)?.chunks[chunk];
   }
 
-  /** Takes a chunk in if its digest is the manifest's. */
+  /**
+   * Stores a chunk if its SHA-256 digest matches the manifest's; returns
+   * whether it does.
+   */
   add(version: string, chunk: number, bytes: Buffer): boolean {
     const entry = this.#versions.get(version);
     const digest = createHash("sha256").update(bytes).digest("hex");
@@ -74,7 +84,7 @@
     return true;
   }
 
-  /** Drops every version but these. */
+  /** Drops all versions except these. */
   keep(versions: Set<string>): void {
     for (const name of [...this.#versions.keys()]) {
       if (!versions.has(name)) this.#versions.delete(name);
@@ -85,7 +95,7 @@
     return [...this.#versions.keys()];
   }
 
-  #chunksByDigest(): Map<string, Buffer> {
+  #indexByDigest(): Map<string, Buffer> {
     const found = new Map<string, Buffer>();
     for (const { manifest, chunks } of this.#versions.values()) {
       chunks.forEach((bytes, chunk) => {
--- /dev/null
+++ b/packages/daemon/src/stager/block_change_batcher_test.ts
@@ -0,0 +1,32 @@
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import { BlockChangeBatcher } from "./block_change_batcher.ts";
+import type { BlockChange } from "./block_change.ts";
+
+function batchChanges(changes: BlockChange[]): Promise<BlockChange> {
+  const batcher = new BlockChangeBatcher(1);
+  const batch = new Promise<BlockChange>((resolve) =>
+    batcher.batches$.subscribe(resolve)
+  );
+  for (const change of changes) batcher.add(change);
+  return batch;
+}
+
+test("96 chunks of a version that arrive together are reported in one message", async () => {
+  // Guards against overloading control hosts: dozens of hosts report each of
+  // 96 chunks to every control host while engines wait for the plan.
+  const changes = Array.from(
+    { length: 96 },
+    (_, chunk) => ({ version: "m@2", added: [chunk], failed: [] }),
+  );
+  const told = await batchChanges(changes);
+  assert.equal(told.added.length, 96);
+});
+
+test("chunks of a superseded version are not reported as the next version's", async () => {
+  const told = await batchChanges([
+    { version: "m@2", added: [1], failed: [2] },
+    { version: "m@3", added: [5], failed: [] },
+  ]);
+  assert.deepEqual(told, { version: "m@3", added: [5], failed: [] });
+});
--- a/packages/daemon/src/stager/serving_number.ts
+++ b/packages/daemon/src/stager/find_served_version_number.ts
@@ -1,7 +1,7 @@
 import type { EngineReport } from "../platform/engine_report.ts";
 
-/** The version of a model that an engine says it serves; 0 for none. */
-export function servingNumber(
+/** The version of `model` that the engine reports to serve; 0 for none. */
+export function findServedVersionNumber(
   { models }: EngineReport,
   model: string | undefined,
 ): number {
--- a/packages/daemon/src/stager/load_target.ts
+++ b/packages/daemon/src/stager/load_target.ts
@@ -1,7 +1,9 @@
-/** The weights that an engine is to be brought to; `since` in monotonic ms. */
+/** The weights that the engine on this host is to load. */
 export type LoadTarget = {
   model: string;
-  number: number;
+  versionNumber: number;
+  /** Model and version number: `model@number`. */
   version: string;
+  /** When this host received the target, monotonic milliseconds. */
   since: number;
 };
--- a/packages/daemon/src/stager/staged_chunks.ts
+++ b/packages/daemon/src/stager/staged_chunks.ts
@@ -4,20 +4,26 @@
 import type { WeightsCache } from "../spread/weights_cache.ts";
 import type { EventLog } from "../log/event_log.ts";
 import type { ModelEngine } from "../platform/model_engine.ts";
-import { forEachAtOnce } from "./for_each_at_once.ts";
+import { forEachConcurrently } from "./for_each_concurrently.ts";
 
-/** The engine's host answers from memory; each read is mostly waiting. */
-const READS_AT_ONCE = 6;
+/**
+ * The engine's host answers reads from memory, so a read is mostly waiting for
+ * the response and several can overlap.
+ */
+const MAX_CONCURRENT_READS = 6;
 
 type Options = { engine: ModelEngine; cache: WeightsCache; log: EventLog };
 
-/** The weights that lie staged beside the engine, one copy a model. */
+/**
+ * The chunks in the engine's staging area, from which the engine loads. The
+ * area holds one copy of the weights for each model.
+ */
 export class StagedChunks {
   #options: Options;
-  /** Chunks of the cache's version known to have been written. */
+  /** Chunks of `#version` that are known to be in the staging area. */
   #written = new Set<number>();
   #version = "";
-  /** What this process did not write itself was taken in already. */
+  /** Whether chunks staged before this process started were read back. */
   #isRecovered = false;
 
   constructor(options: Options) {
@@ -25,8 +31,10 @@
   }
 
   /**
-   * Takes good chunks that lie there into the cache; gives their numbers.
-   * Later on only what came from the cache lies there.
+   * Copies the staged chunks that match the manifest into the cache, and
+   * returns their numbers. Does so only once: afterwards the staging area
+   * holds only chunks written from the cache. If the staged chunks can't be
+   * listed, returns none, and the next call tries again.
    */
   async recover(manifest: WeightsManifest): Promise<number[]> {
     if (this.#isRecovered) return [];
@@ -38,21 +46,28 @@
       return [];
     }
     this.#isRecovered = true;
-    this.#turnTo(version);
+    this.#switchVersion(version);
     const added: number[] = [];
-    await forEachAtOnce(staged.value, READS_AT_ONCE, async (chunk) => {
-      const bytes = await engine.readStaged(manifest.name, chunk);
-      if (bytes.isErr || !cache.add(version, chunk, bytes.value)) return;
-      if (this.#version === version) this.#written.add(chunk);
-      added.push(chunk);
-    });
+    await forEachConcurrently(
+      staged.value,
+      MAX_CONCURRENT_READS,
+      async (chunk) => {
+        const bytes = await engine.readStaged(manifest.name, chunk);
+        if (bytes.isErr || !cache.add(version, chunk, bytes.value)) return;
+        if (this.#version === version) this.#written.add(chunk);
+        added.push(chunk);
+      },
+    );
     return added;
   }
 
-  /** Writes what is held and does not lie there yet; whether all does now. */
-  async write(model: string, version: string): Promise<boolean> {
+  /**
+   * Writes the cached chunks that are not staged yet. Returns whether the
+   * whole version is staged now.
+   */
+  async writeMissing(model: string, version: string): Promise<boolean> {
     const { engine, cache, log } = this.#options;
-    this.#turnTo(version);
+    this.#switchVersion(version);
     const held = cache.held(version);
     if (held === undefined) return false;
     for (const chunk of held.held()) {
@@ -69,27 +84,30 @@
     return held.isComplete && this.#written.size === held.total;
   }
 
-  /** Reads all of it back; what is bad will be written again. */
+  /**
+   * Reads all chunks of a version back and returns whether every digest
+   * matches. The next `writeMissing` writes chunks again that don't match.
+   */
   async verify(version: string): Promise<boolean> {
     const { engine, cache, log } = this.#options;
     const manifest = cache.manifest(version);
     if (manifest === undefined) return false;
     const chunks = manifest.chunks.map((_, chunk) => chunk);
-    let isSound = true;
-    await forEachAtOnce(chunks, READS_AT_ONCE, async (chunk) => {
+    let isIntact = true;
+    await forEachConcurrently(chunks, MAX_CONCURRENT_READS, async (chunk) => {
       const bytes = await engine.readStaged(manifest.name, chunk);
       const digest = bytes.isOk
         ? createHash("sha256").update(bytes.value).digest("hex")
         : "";
       if (digest === manifest.chunks[chunk]) return;
-      isSound = false;
+      isIntact = false;
       this.#written.delete(chunk);
       log.warn("staged-chunk-bad", { version, chunk });
     });
-    return isSound;
+    return isIntact;
   }
 
-  #turnTo(version: string): void {
+  #switchVersion(version: string): void {
     if (this.#version === version) return;
     this.#version = version;
     this.#written.clear();
--- a/packages/daemon/src/stager/staged_loader.ts
+++ b/packages/daemon/src/stager/staged_loader.ts
@@ -8,66 +8,81 @@
 import type { ModelEngine } from "../platform/model_engine.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import { pause } from "../transport/pause.ts";
-import { ChunkArrival } from "./chunk_arrival.ts";
+import { ArrivalPredictor } from "./arrival_predictor.ts";
 import type { LoadTarget } from "./load_target.ts";
-import { servingNumber } from "./serving_number.ts";
+import { findServedVersionNumber } from "./find_served_version_number.ts";
 import { StagedChunks } from "./staged_chunks.ts";
 
-/** Asking the engine on its own host is free and answered in a millisecond. */
-const STEP_MILLISECONDS = 80;
-const IDLE_STEP_MILLISECONDS = 250;
-const TURN_ASK_MILLISECONDS = 150;
-/** Gateways hear within it that this engine takes nothing more. */
-const NOTICE_MILLISECONDS = 60;
-/** An engine ends what is running within it, mostly. */
-const DRAIN_MILLISECONDS = 1_500;
-/** Behind it the weights beside the engine are checked once more. */
-const CHECKED_MILLISECONDS = 2_000;
+/**
+ * The engine runs on this host: polling it costs almost nothing, and it
+ * answers within a millisecond.
+ */
+const POLL_INTERVAL_MILLISECONDS = 80;
+const IDLE_POLL_INTERVAL_MILLISECONDS = 250;
+const PERMIT_REQUEST_INTERVAL_MILLISECONDS = 150;
+/**
+ * Within this time gateways learn that the engine accepts no more requests.
+ * Until then it may still receive some.
+ */
+const NOTICE_PROPAGATION_MILLISECONDS = 60;
+/** An engine usually finishes its running requests within this time. */
+const MAX_DRAIN_MILLISECONDS = 1_500;
+/** Staged weights that were verified longer ago are verified once more. */
+const VERIFICATION_VALID_MILLISECONDS = 2_000;
 
 type Options = {
   engine: ModelEngine;
   cache: WeightsCache;
   log: EventLog;
-  /** After it is named no request may begin on older weights. */
+  /**
+   * From this long after a version is named, no request may begin on older
+   * weights.
+   */
   weightsBoundMilliseconds: number;
-  /** Versions whose naming is known here. */
-  named: NamedVersions;
+  /** Versions that this host knows to have been named. */
+  namedVersions: NamedVersions;
 };
 
 /**
- * Brings the engine to the target version: stages complete weights beside
- * it, waits for its turn, lets it run empty, checks what lies there once
- * more, and orders the load. An engine that lost its weights gets them again
- * at once.
+ * Makes the engine serve the target version: writes the weights into the
+ * engine's staging area, waits for a permit to stop serving, drains the
+ * engine, verifies the staged weights and orders the load. An engine that
+ * serves no weights, for example because it lost them, loads without a permit.
  */
 export class StagedLoader {
-  /** What is announced of the engine has changed. */
+  /**
+   * The engine's serving version or start time has changed, or whether it
+   * accepts requests.
+   */
   readonly changed$ = new Subject<void>();
-  /** The engine's own word on what it has, as often as it is asked. */
+  /** The engine's report, emitted after every poll that it answers. */
   readonly report$ = new Subject<EngineReport>();
-  readonly turnWanted$ = new Subject<
+  readonly permitRequested$ = new Subject<
     { version: string; wasServing: boolean }
   >();
-  /** The engine serves this version now. */
-  readonly settled$ = new Subject<string>();
+  /** The version that the engine has begun to serve. */
+  readonly loaded$ = new Subject<string>();
   #options: Options;
   #staged: StagedChunks;
-  #arrival: ChunkArrival;
+  #arrival: ArrivalPredictor;
   #target: LoadTarget | undefined;
-  #turnFor = "";
-  #askedAt = -Infinity;
+  #permittedVersion = "";
+  #requestedAt = -Infinity;
   #servingVersion = "";
   #isAccepting = true;
   #bornAt = 0;
-  /** Since when, and for which version, the engine takes nothing new. */
-  #emptyingFor = "";
-  #emptyingSince = 0;
-  #stopped = false;
+  /**
+   * For which version, and since when, the engine accepts no new requests;
+   * monotonic milliseconds.
+   */
+  #drainingFor = "";
+  #drainingSince = 0;
+  #isStopped = false;
 
   constructor(options: Options) {
     this.#options = options;
     this.#staged = new StagedChunks(options);
-    this.#arrival = new ChunkArrival(options.cache);
+    this.#arrival = new ArrivalPredictor(options.cache);
   }
 
   start(): void {
@@ -75,7 +90,7 @@
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
   get servingVersion(): string {
@@ -90,69 +105,77 @@
     return this.#bornAt;
   }
 
-  setTarget(model: string, number: number, version: string): void {
+  setTarget(model: string, versionNumber: number, version: string): void {
     const since = monotonicMilliseconds();
-    this.#target = { model, number, version, since };
+    this.#target = { model, versionNumber, version, since };
   }
 
-  takeTurn(version: string): void {
-    this.#turnFor = version;
+  grantPermit(version: string): void {
+    this.#permittedVersion = version;
   }
 
-  /** Takes into the cache what lies beside the engine and is good. */
+  /** Copies intact staged chunks into the cache; returns their numbers. */
   recoverStaged(manifest: WeightsManifest): Promise<number[]> {
     return this.#staged.recover(manifest);
   }
 
   async #run(): Promise<void> {
-    while (!this.#stopped) {
-      const isIdle = await this.#step();
-      await pause(isIdle ? IDLE_STEP_MILLISECONDS : STEP_MILLISECONDS);
+    while (!this.#isStopped) {
+      const isIdle = await this.#reconcile();
+      await pause(
+        isIdle ? IDLE_POLL_INTERVAL_MILLISECONDS : POLL_INTERVAL_MILLISECONDS,
+      );
     }
   }
 
-  /** Gives back whether there is nothing to be done. */
-  async #step(): Promise<boolean> {
+  /**
+   * Takes the next step towards the target. Returns whether the engine may be
+   * polled at the longer interval.
+   */
+  async #reconcile(): Promise<boolean> {
     const { engine, log } = this.#options;
     const report = await engine.report();
     if (report.isErr) {
       log.debug("engine-silent", { reason: report.error });
-      this.#noteEngine("", 0);
+      this.#updateEngineState("", 0);
       return true;
     }
     this.report$.next(report.value);
     const target = this.#target;
-    const serving = servingNumber(report.value, target?.model);
+    const serving = findServedVersionNumber(report.value, target?.model);
     const name = serving === 0 ? "" : `${target!.model}@${serving}`;
-    this.#noteEngine(name, report.value.bornAt);
+    this.#updateEngineState(name, report.value.bornAt);
     if (target === undefined) return true;
-    if (serving === target.number && !report.value.isBusy) {
-      this.#settle(target);
+    if (serving === target.versionNumber && !report.value.isBusy) {
+      this.#finishLoad(target);
       return true;
     }
     if (report.value.isBusy) return false;
-    const isStaged = await this.#staged.write(target.model, target.version);
-    if (serving > 0 && !this.#mayLeave(target, serving)) {
+    const isStaged = await this.#staged.writeMissing(
+      target.model,
+      target.version,
+    );
+    if (serving > 0 && !this.#mayStopServing(target, serving)) {
       this.#setAccepting(true);
       return !this.#arrival.isNearlyHeld(target.version, target.since);
     }
-    this.#startRunningEmpty(target);
+    this.#startDraining(target);
     if (isStaged) await this.#load(target, serving);
     return false;
   }
 
-  #noteEngine(serving: string, bornAt: number): void {
+  #updateEngineState(serving: string, bornAt: number): void {
     if (serving === this.#servingVersion && bornAt === this.#bornAt) return;
     this.#servingVersion = serving;
     this.#bornAt = bornAt;
     this.changed$.next();
   }
 
-  #settle(target: LoadTarget): void {
-    if (this.#isAccepting && this.#turnFor === "") return;
-    this.#turnFor = "";
+  #finishLoad(target: LoadTarget): void {
+    if (this.#isAccepting && this.#permittedVersion === "") return;
+    this.#permittedVersion = "";
     this.#setAccepting(true);
-    this.settled$.next(target.version);
+    this.loaded$.next(target.version);
     this.#options.log.info("weights-live", {
       version: target.version,
       milliseconds: Math.round(monotonicMilliseconds() - target.since),
@@ -166,47 +189,51 @@
   }
 
   #unusedAt({ model, since }: LoadTarget, serving: number): number {
-    const { named, weightsBoundMilliseconds } = this.#options;
-    const overtakenAt = Math.min(since, named.overtakenAt(model, serving));
-    return weightsUnusedAt(overtakenAt, weightsBoundMilliseconds);
+    const { namedVersions, weightsBoundMilliseconds } = this.#options;
+    const supersededAt = Math.min(
+      since,
+      namedVersions.overtakenAt(model, serving),
+    );
+    return weightsUnusedAt(supersededAt, weightsBoundMilliseconds);
   }
 
   /**
-   * Whether it is to stop serving for the target: its turn has come, and the
-   * rest of the weights is about to. A turn for a version that was overtaken
-   * or whose last chunks don't come is no reason to stay away.
+   * Whether the engine may stop serving to load the target: it has a permit
+   * and the missing chunks are about to arrive, or no gateway sends requests
+   * to its weights any more. With a permit for a superseded version, or for
+   * one whose last chunks don't arrive, the engine goes on serving.
    */
-  #mayLeave(target: LoadTarget, serving: number): boolean {
+  #mayStopServing(target: LoadTarget, serving: number): boolean {
     if (monotonicMilliseconds() > this.#unusedAt(target, serving)) return true;
     if (!this.#arrival.isNearlyHeld(target.version, target.since)) return false;
-    if (this.#turnFor === target.version) return true;
-    this.#askForTurn(target.version);
+    if (this.#permittedVersion === target.version) return true;
+    this.#requestPermit(target.version);
     return false;
   }
 
-  #askForTurn(version: string): void {
+  #requestPermit(version: string): void {
     const now = monotonicMilliseconds();
-    if (now - this.#askedAt <= TURN_ASK_MILLISECONDS) return;
-    this.#askedAt = now;
-    this.turnWanted$.next({ version, wasServing: true });
+    if (now - this.#requestedAt <= PERMIT_REQUEST_INTERVAL_MILLISECONDS) return;
+    this.#requestedAt = now;
+    this.permitRequested$.next({ version, wasServing: true });
   }
 
-  #startRunningEmpty(target: LoadTarget): void {
-    if (!this.#isAccepting && this.#emptyingFor === target.version) return;
-    this.#emptyingFor = target.version;
-    this.#emptyingSince = monotonicMilliseconds();
+  #startDraining(target: LoadTarget): void {
+    if (!this.#isAccepting && this.#drainingFor === target.version) return;
+    this.#drainingFor = target.version;
+    this.#drainingSince = monotonicMilliseconds();
     this.#setAccepting(false);
   }
 
   async #load(target: LoadTarget, serving: number): Promise<void> {
     const { engine, log } = this.#options;
-    const isSound = await this.#prepare(target, serving);
+    const isIntact = await this.#verifyAndDrain(target, serving);
     const report = await engine.report();
-    if (!isSound || report.isErr || this.#target !== target) return;
+    if (!isIntact || report.isErr || this.#target !== target) return;
     const { sequence } = report.value;
     const answer = await engine.load({
       model: target.model,
-      version: target.number,
+      version: target.versionNumber,
       sequence,
     });
     log.info("load-ordered", {
@@ -220,31 +247,34 @@
   }
 
   /**
-   * Chunks turn bad where they lie, and the engine takes them unchecked: they
-   * are read back while it runs empty, and again where that was long ago, as
-   * when this process stood still in between.
+   * Drains the engine and verifies the staged chunks meanwhile; returns
+   * whether all of them are intact. Chunks can become corrupt in the staging
+   * area, and the engine loads them unchecked. They are verified again if the
+   * first verification began too long ago, for example because this process
+   * was paused.
    */
-  async #prepare(target: LoadTarget, serving: number): Promise<boolean> {
-    const checkedAt = monotonicMilliseconds();
+  async #verifyAndDrain(target: LoadTarget, serving: number): Promise<boolean> {
+    const verificationStartedAt = monotonicMilliseconds();
     const [isSound] = await Promise.all([
       this.#staged.verify(target.version),
-      serving > 0 ? this.#runEmpty(target, serving) : undefined,
+      serving > 0 ? this.#waitForDrain(target, serving) : undefined,
     ]);
-    const isFresh = monotonicMilliseconds() - checkedAt < CHECKED_MILLISECONDS;
+    const isFresh = monotonicMilliseconds() - verificationStartedAt <
+      VERIFICATION_VALID_MILLISECONDS;
     return isSound && (isFresh || await this.#staged.verify(target.version));
   }
 
-  async #runEmpty(target: LoadTarget, serving: number): Promise<void> {
+  async #waitForDrain(target: LoadTarget, serving: number): Promise<void> {
     const until = Math.min(
-      this.#emptyingSince + DRAIN_MILLISECONDS,
+      this.#drainingSince + MAX_DRAIN_MILLISECONDS,
       this.#unusedAt(target, serving),
     );
-    await pause(NOTICE_MILLISECONDS);
+    await pause(NOTICE_PROPAGATION_MILLISECONDS);
     while (monotonicMilliseconds() < until && this.#target === target) {
       const report = await this.#options.engine.report();
       if (report.isErr) return;
       if (report.value.running + report.value.waiting === 0) return;
-      await pause(STEP_MILLISECONDS);
+      await pause(POLL_INTERVAL_MILLISECONDS);
     }
   }
 }
--- a/packages/daemon/src/stager/staged_loader_test.ts
+++ b/packages/daemon/src/stager/staged_loader_test.ts
@@ -15,9 +15,9 @@
 
 const MODEL = "m";
 const CHUNKS = 4;
-/** Short, so that a test sees its end. */
+/** Short, so that it ends within a test. */
 const BOUND_MILLISECONDS = 2_500;
-const WAIT_MILLISECONDS = 5_000;
+const TIMEOUT_MILLISECONDS = 5_000;
 
 function chunkOf(version: number, chunk: number): Buffer {
   return Buffer.from(`chunk ${chunk} of ${version}`.padEnd(32, "."));
@@ -41,17 +41,20 @@
   };
 }
 
-/** An engine that loads whatever lies there, as real ones do. */
+/** Loads the staged chunks without checking them, as real engines do. */
 class FakeEngine implements ModelEngine {
   staged = new Map<number, Buffer>();
-  /** What it loaded: versions of whole weights, or "mixed". */
+  /** Loaded versions, in order; "mixed" if chunks didn't match the version. */
   loaded: string[] = [];
   models: EngineReport["models"] = [];
   running = 0;
-  /** Chunks that turn bad when they are written; each once. */
-  rots: number[] = [];
-  /** What the first read of each chunk takes; it turns bad behind it. */
-  slowRotMilliseconds = 0;
+  /** Chunks that are corrupted when they are written, each once. */
+  corruptedOnWrite: number[] = [];
+  /**
+   * How long the first read of each chunk takes; 0 for no delay. With a delay
+   * the read returns the intact bytes, and the chunk is corrupt afterwards.
+   */
+  firstReadMilliseconds = 0;
   #sequence = 0;
   #read = new Set<number>();
 
@@ -77,9 +80,9 @@
     const bytes = this.staged.get(chunk);
     const isFirst = !this.#read.has(chunk);
     this.#read.add(chunk);
-    if (this.slowRotMilliseconds > 0 && isFirst) {
+    if (this.firstReadMilliseconds > 0 && isFirst) {
       this.staged.set(chunk, Buffer.from("rotten"));
-      await pause(this.slowRotMilliseconds);
+      await pause(this.firstReadMilliseconds);
     }
     return bytes === undefined ? Result.err("none") : Result.ok(bytes);
   }
@@ -89,8 +92,8 @@
     chunk: number,
     bytes: Buffer,
   ): Promise<Result<void, string>> {
-    const at = this.rots.indexOf(chunk);
-    if (at >= 0) this.rots.splice(at, 1);
+    const at = this.corruptedOnWrite.indexOf(chunk);
+    if (at >= 0) this.corruptedOnWrite.splice(at, 1);
     this.staged.set(chunk, at >= 0 ? Buffer.from("rotten") : bytes);
     return Promise.resolve(Result.ok(undefined));
   }
@@ -116,15 +119,15 @@
     write: () => undefined,
     flush: () => Promise.resolve(),
   });
-  const named = new NamedVersions();
+  const namedVersions = new NamedVersions();
   const loader = new StagedLoader({
     engine,
-    named,
+    namedVersions,
     cache,
     log,
     weightsBoundMilliseconds: BOUND_MILLISECONDS,
   });
-  const bring = (version: number) => {
+  const deliverVersion = (version: number) => {
     const manifest = manifestOf(version);
     const name = `${MODEL}@${version}`;
     cache.begin(manifest);
@@ -133,11 +136,11 @@
       cache.add(name, chunk, chunkOf(version, chunk));
     }
   };
-  return { engine, cache, loader, bring, named };
+  return { engine, cache, loader, deliverVersion, namedVersions };
 }
 
-async function until(check: () => boolean): Promise<void> {
-  const end = performance.now() + WAIT_MILLISECONDS;
+async function waitUntil(check: () => boolean): Promise<void> {
+  const end = performance.now() + TIMEOUT_MILLISECONDS;
   while (!check()) {
     assert.ok(performance.now() < end, "not in time");
     await pause(10);
@@ -145,103 +148,107 @@
 }
 
 test("an empty engine is loaded at once, and only from whole weights", async () => {
-  // Story: a chunk turns bad where it lies, between its writing and the load.
-  // The engine takes what lies there unchecked: it must be found first.
-  const { engine, loader, bring } = setUp();
-  engine.rots = [2];
+  // Guards against loading a chunk that was corrupted in the staging area
+  // between its writing and the load. The engine loads staged chunks
+  // unchecked, so the loader must find the chunk first.
+  const { engine, loader, deliverVersion } = setUp();
+  engine.corruptedOnWrite = [2];
   loader.start();
-  bring(1);
-  await until(() => engine.loaded.length > 0);
+  deliverVersion(1);
+  await waitUntil(() => engine.loaded.length > 0);
   loader.stop();
   assert.deepEqual(engine.loaded, ["1"]);
 });
 
 test("weights that were checked long ago are checked again", async () => {
-  // Guards against loading what turned bad while this process stood still.
-  const { engine, loader, bring } = setUp();
-  engine.slowRotMilliseconds = 2_100;
+  // Guards against loading chunks that were corrupted after verification,
+  // while this process was paused.
+  const { engine, loader, deliverVersion } = setUp();
+  engine.firstReadMilliseconds = 2_100;
   loader.start();
-  bring(1);
-  await until(() => engine.loaded.length > 0);
+  deliverVersion(1);
+  await waitUntil(() => engine.loaded.length > 0);
   loader.stop();
   assert.deepEqual(engine.loaded, ["1"]);
 });
 
-test("a serving engine loads only in its turn, and runs empty before", async () => {
-  const { engine, loader, bring } = setUp();
+test("a serving engine loads only with a permit and after draining", async () => {
+  const { engine, loader, deliverVersion } = setUp();
   engine.models = [{ name: MODEL, version: 1 }];
   engine.running = 3;
   let asked = 0;
-  loader.turnWanted$.subscribe(() => {
+  loader.permitRequested$.subscribe(() => {
     asked += 1;
   });
   loader.start();
-  bring(2);
-  await until(() => asked > 0);
+  deliverVersion(2);
+  await waitUntil(() => asked > 0);
   assert.equal(loader.isAccepting, true);
   assert.deepEqual(engine.loaded, []);
-  loader.takeTurn(`${MODEL}@2`);
-  await until(() => !loader.isAccepting);
+  loader.grantPermit(`${MODEL}@2`);
+  await waitUntil(() => !loader.isAccepting);
   assert.deepEqual(engine.loaded, []);
   engine.running = 0;
-  await until(() => engine.loaded.length > 0 && loader.isAccepting);
+  await waitUntil(() => engine.loaded.length > 0 && loader.isAccepting);
   loader.stop();
   assert.deepEqual(engine.loaded, ["2"]);
   assert.equal(loader.servingVersion, `${MODEL}@2`);
 });
 
-test("a version that was overtaken gives its turn up, and serves on", async () => {
-  // Story: version 3 is named while an engine runs empty for version 2. It
-  // must not stay away for as long as version 3 takes to arrive.
-  const { engine, cache, loader, bring } = setUp();
+test("an engine draining for a superseded version accepts requests again", async () => {
+  // Guards against an idle engine: version 3 is named while the engine drains
+  // for version 2. The engine must serve until version 3 has nearly arrived.
+  const { engine, cache, loader, deliverVersion } = setUp();
   engine.models = [{ name: MODEL, version: 1 }];
   engine.running = 1;
   loader.start();
-  bring(2);
-  loader.takeTurn(`${MODEL}@2`);
-  await until(() => !loader.isAccepting);
+  deliverVersion(2);
+  loader.grantPermit(`${MODEL}@2`);
+  await waitUntil(() => !loader.isAccepting);
   cache.begin(manifestOf(3));
   loader.setTarget(MODEL, 3, `${MODEL}@3`);
-  await until(() => loader.isAccepting);
+  await waitUntil(() => loader.isAccepting);
   loader.stop();
   assert.ok(!engine.loaded.includes("mixed"));
 });
 
-test("an engine that lost its weights gets them again", async () => {
-  const { engine, loader, bring } = setUp();
+test("an engine that lost its weights loads them again", async () => {
+  const { engine, loader, deliverVersion } = setUp();
   loader.start();
-  bring(1);
-  await until(() => engine.loaded.length === 1);
+  deliverVersion(1);
+  await waitUntil(() => engine.loaded.length === 1);
   engine.models = [];
-  await until(() => engine.loaded.length === 2);
+  await waitUntil(() => engine.loaded.length === 2);
   loader.stop();
   assert.deepEqual(engine.loaded, ["1", "1"]);
 });
 
-test("without a turn it loads once its weights are of no use any more", async () => {
-  // Story: whoever gives turns is cut off. Once gateways leave the old weights
-  // alone, an engine that still waits would serve nothing at all.
-  const { engine, loader, bring } = setUp();
+test("without a permit an engine loads once gateways no longer use its weights", async () => {
+  // Guards against waiting for a permit that never comes, as when the control
+  // host that grants it is cut off. Once gateways stop using the old weights,
+  // an engine that still waits would serve nothing at all.
+  const { engine, loader, deliverVersion } = setUp();
   engine.models = [{ name: MODEL, version: 1 }];
   loader.start();
-  bring(2);
-  await until(() => engine.loaded.length > 0);
+  deliverVersion(2);
+  await waitUntil(() => engine.loaded.length > 0);
   loader.stop();
   assert.deepEqual(engine.loaded, ["2"]);
 });
 
-test("no turn is waited for by weights that were overtaken long ago", async () => {
-  // Story: version 3 is named while the weight store is down. When it arrives
-  // at last, no gateway has sent anything to version 2 for seconds; with all
-  // engines idle they still loaded one after the other.
-  const { engine, loader, bring, named } = setUp();
+test("an engine whose weights were superseded long ago doesn't wait for a permit", async () => {
+  // Guards against loading one engine after the other while all are idle:
+  // version 3 is named while the weight store is down. By the time its weights
+  // arrive, gateways have sent nothing to version 2 for seconds, so no engine
+  // needs to wait for a permit.
+  const { engine, loader, deliverVersion, namedVersions } = setUp();
   engine.models = [{ name: MODEL, version: 2 }];
   const namedAt = monotonicMilliseconds() - BOUND_MILLISECONDS;
-  named.add(MODEL, { version: 3, namedAt });
+  namedVersions.add(MODEL, { version: 3, namedAt });
   loader.start();
   const startedAt = performance.now();
-  bring(3);
-  await until(() => engine.loaded.length > 0);
+  deliverVersion(3);
+  await waitUntil(() => engine.loaded.length > 0);
   loader.stop();
   const milliseconds = performance.now() - startedAt;
   assert.ok(milliseconds < BOUND_MILLISECONDS / 2, `${milliseconds} ms`);
--- a/packages/daemon/src/stager/stager_app.ts
+++ b/packages/daemon/src/stager/stager_app.ts
@@ -24,27 +24,41 @@
 import type { ClientPool } from "../transport/client_pool.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import { listen } from "../transport/listen.ts";
-import type { ChunkChange } from "./chunk_change.ts";
-import { ChunkChangeGatherer } from "./chunk_change_gatherer.ts";
+import type { BlockChange } from "./block_change.ts";
+import { BlockChangeBatcher } from "./block_change_batcher.ts";
 import { createChunkServer } from "./create_chunk_server.ts";
 import { StagedLoader } from "./staged_loader.ts";
 
 /**
- * Part of the link that chunks may fill. Live answers share it: with all of
- * it filled their events wait in its queue for longer than clients bear.
+ * Share of the host's link that chunk transfers may use. Live responses use
+ * the same link: with chunks filling all of it, response events would queue
+ * for longer than clients tolerate.
+ */
+const CHUNK_LINK_SHARE = 0.85;
+const BYTES_PER_MEGABIT = 125_000;
+/**
+ * Transfer time of one slice of a chunk, which is how long a live response can
+ * wait behind chunk data on a slow link.
  */
-const CHUNKS_SHARE = 0.85;
-const BYTES_IN_MEGABIT = 125_000;
-/** Sent at a time: what a live answer may wait behind on a thin link. */
 const SLICE_MILLISECONDS = 15;
-const LEAST_SLICE_BYTES = 4_096;
-/** A beat in 1.5 s, half of what control hosts take for silence. */
-const QUIET_BEATS = 3;
-/** A fraction of what a chunk takes on a thin link; the plan waits for it. */
-const TELL_PLANNER_MILLISECONDS = 20;
-/** The others draw a chunk across regions once, and take over a plan rarely. */
-const TELL_OTHERS_MILLISECONDS = 250;
-const NANOSECONDS_IN_MICROSECOND = 1_000n;
+const MIN_SLICE_BYTES = 4_096;
+/**
+ * With a beat every 500 ms, a heartbeat goes out every 1.5 s, half the silence
+ * after which a control host closes the session.
+ */
+const QUIET_BEATS_PER_HEARTBEAT = 3;
+/**
+ * The coordinator's next plan waits for these reports, so the delay is only a
+ * fraction of a chunk's transfer time on a slow link.
+ */
+const COORDINATOR_BATCH_MILLISECONDS = 20;
+/**
+ * The other control hosts need the reports less urgently: to fetch a chunk
+ * across regions, once for each chunk, and to take over planning, which is
+ * rare.
+ */
+const OTHERS_BATCH_MILLISECONDS = 250;
+const NANOSECONDS_PER_MICROSECOND = 1_000n;
 
 type Options = {
   settings: Settings;
@@ -54,7 +68,10 @@
   platform: PlatformEdge;
 };
 
-/** Brings weights to the model engine on this host. */
+/**
+ * The stager role: fetches weights to this host, serves their chunks to other
+ * stagers, and makes the model engine on this host load them.
+ */
 export class StagerApp {
   #options: Options;
   #incarnation = randomUUID();
@@ -64,9 +81,9 @@
   #links: EntryLinks;
   #server: Server;
   #target: { version: string; number: number } | undefined;
-  #named = new NamedVersions();
-  #toPlanner = new ChunkChangeGatherer(TELL_PLANNER_MILLISECONDS);
-  #toOthers = new ChunkChangeGatherer(TELL_OTHERS_MILLISECONDS);
+  #namedVersions = new NamedVersions();
+  #coordinatorBatcher = new BlockChangeBatcher(COORDINATOR_BATCH_MILLISECONDS);
+  #othersBatcher = new BlockChangeBatcher(OTHERS_BATCH_MILLISECONDS);
 
   constructor(options: Options) {
     const { settings, clients, log, metrics, platform } = options;
@@ -76,7 +93,7 @@
       cache: this.#cache,
       fetcher: new ChunkFetcher({
         dataCentre: settings.data_centre,
-        pacer: new LinkPacer(this.#chunksRate),
+        pacer: new LinkPacer(this.#chunkBytesPerSecond),
         storeFormat: platform.storeFormat,
       }),
       log,
@@ -89,41 +106,41 @@
       cache: this.#cache,
       log,
       weightsBoundMilliseconds: stager.weights_bound_milliseconds,
-      named: this.#named,
+      namedVersions: this.#namedVersions,
     });
     this.#links = new EntryLinks({
       addresses: stager.control_hosts,
       dataCentre: settings.data_centre,
       clients,
       ring: log.ring,
-      quietBeats: QUIET_BEATS,
+      quietBeats: QUIET_BEATS_PER_HEARTBEAT,
       takesFarPlans: true,
       greet: (address) => [
-        this.#announcement(),
-        ...(this.#target === undefined ? [] : [this.#wholeReport(address)]),
+        this.#buildAnnouncement(),
+        ...(this.#target === undefined ? [] : [this.#buildFullReport(address)]),
       ],
       beat: () => undefined,
     });
-    const chunks = new ChunkSender({
+    const chunkSender = new ChunkSender({
       dataCentre: settings.data_centre,
       cache: this.#cache,
-      link: new LinkPacer(this.#chunksRate),
+      link: new LinkPacer(this.#chunkBytesPerSecond),
       regionBytesPerSecond: 0,
       sliceBytes: this.#sliceBytes,
     });
-    this.#server = createChunkServer({ chunks, log });
+    this.#server = createChunkServer({ chunkSender, log });
     this.#connectParts();
   }
 
-  /** Bytes a second; 0 is not limited. */
-  get #chunksRate(): number {
+  /** Rate limit of chunk transfers in each direction; 0 for no limit. */
+  get #chunkBytesPerSecond(): number {
     const { link_megabits_per_second } = this.#options.settings.stager!;
-    return link_megabits_per_second * BYTES_IN_MEGABIT * CHUNKS_SHARE;
+    return link_megabits_per_second * BYTES_PER_MEGABIT * CHUNK_LINK_SHARE;
   }
 
   get #sliceBytes(): number {
-    const bytes = this.#chunksRate * SLICE_MILLISECONDS / 1_000;
-    return Math.max(LEAST_SLICE_BYTES, Math.round(bytes));
+    const bytes = this.#chunkBytesPerSecond * SLICE_MILLISECONDS / 1_000;
+    return Math.max(MIN_SLICE_BYTES, Math.round(bytes));
   }
 
   async start(): Promise<Result<void, string>> {
@@ -137,57 +154,65 @@
     return listening;
   }
 
-  /** Other control hosts may be named than at the start. */
+  /**
+   * Takes the control hosts from changed settings, unless one is connected:
+   * connected control hosts send the current addresses themselves.
+   */
   reload(settings: Settings): void {
     if (this.#links.anyConnected !== undefined) return;
     this.#links.setAddresses(settings.stager?.control_hosts ?? []);
   }
 
-  /** The engine goes on without it; an order under way is the engine's. */
+  /**
+   * Stops this process's work. The engine keeps running, and completes a load
+   * that was already ordered.
+   */
   stop(): void {
     this.#loader.stop();
     this.#spread.stop();
-    this.#toPlanner.stop();
-    this.#toOthers.stop();
+    this.#coordinatorBatcher.stop();
+    this.#othersBatcher.stop();
     this.#links.stop();
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
   #connectParts(): void {
-    this.#links.incoming$.subscribe(({ message }) => this.#take(message));
+    this.#links.incoming$.subscribe(({ message }) =>
+      this.#handleMessage(message)
+    );
     this.#links.coordinatorChanged$.subscribe(() => {
       if (this.#target === undefined) return;
-      this.#links.broadcast((address) => this.#wholeReport(address));
+      this.#links.broadcast((address) => this.#buildFullReport(address));
     });
     this.#spread.changed$.subscribe((change) => {
-      this.#toPlanner.add(change);
-      this.#toOthers.add(change);
+      this.#coordinatorBatcher.add(change);
+      this.#othersBatcher.add(change);
     });
-    this.#toPlanner.gathered$.subscribe((change) => {
+    this.#coordinatorBatcher.batches$.subscribe((change) => {
       const { coordinator } = this.#links;
-      this.#links.send(coordinator, this.#report(coordinator, change));
+      this.#links.send(coordinator, this.#buildReport(coordinator, change));
     });
-    this.#toOthers.gathered$.subscribe((change) =>
+    this.#othersBatcher.batches$.subscribe((change) =>
       this.#links.broadcast((address) =>
         address === this.#links.coordinator
           ? undefined
-          : this.#report(address, change)
+          : this.#buildReport(address, change)
       )
     );
     this.#loader.changed$.subscribe(() =>
-      this.#links.broadcast(() => this.#announcement())
+      this.#links.broadcast(() => this.#buildAnnouncement())
     );
     this.#loader.report$.pipe(
       map(({ running, waiting }) => ({ running, queued: waiting })),
       distinctUntilChanged((left, right) =>
         left.running === right.running && left.queued === right.queued
       ),
-    ).subscribe((value) => this.#sendToOne({ case: "load", value }));
-    this.#loader.turnWanted$.subscribe((value) =>
-      this.#sendToOne({ case: "permitRequest", value })
+    ).subscribe((value) => this.#sendToAnyControlHost({ case: "load", value }));
+    this.#loader.permitRequested$.subscribe((value) =>
+      this.#sendToAnyControlHost({ case: "permitRequest", value })
     );
-    this.#loader.settled$.subscribe((version) =>
+    this.#loader.loaded$.subscribe((version) =>
       this.#links.broadcast(() => ({
         case: "loadSettled",
         value: { version, fencingToken: 0, loaded: true },
@@ -195,25 +220,31 @@
     );
   }
 
-  /** Control hosts pass it on to each other, or decide it by themselves. */
-  #sendToOne(body: Parameters<EntryLinks["send"]>[1]): void {
+  /**
+   * Sends a message that only one control host needs to receive: it forwards
+   * the message to the others or decides alone.
+   */
+  #sendToAnyControlHost(body: Parameters<EntryLinks["send"]>[1]): void {
     const address = this.#links.anyConnected;
     if (address !== undefined) this.#links.send(address, body);
   }
 
-  #take({ body }: EntryToAgent): void {
+  #handleMessage({ body }: EntryToAgent): void {
     switch (body.case) {
       case "target":
-        return this.#takeTarget(body.value);
+        return this.#handleTarget(body.value);
       case "plan":
         return this.#spread.takePlan(body.value);
       case "permit":
-        return this.#loader.takeTurn(body.value.version);
+        return this.#loader.grantPermit(body.value.version);
     }
   }
 
-  /** Control hosts may lag: only a later version replaces the target. */
-  #takeTarget(target: WeightsTarget): void {
+  /**
+   * Ignores a version that is not later than the current target's: control
+   * hosts may lag behind one another.
+   */
+  #handleTarget(target: WeightsTarget): void {
     if (target.number <= (this.#target?.number ?? 0)) return;
     this.#target = { version: target.version, number: target.number };
     const manifest = JSON.parse(
@@ -222,21 +253,27 @@
     this.#options.log.info("weights-target", { version: target.version });
     this.#spread.setTarget(manifest, target.store);
     this.#cache.keep(new Set([versionName(manifest)]));
-    this.#links.broadcast((address) => this.#wholeReport(address));
-    this.#noteNamed(manifest.name, target.named);
+    this.#links.broadcast((address) => this.#buildFullReport(address));
+    this.#recordNamedVersions(manifest.name, target.named);
     this.#loader.setTarget(manifest.name, target.number, target.version);
-    this.#takeStaged(manifest);
+    this.#recoverStagedChunks(manifest);
   }
 
-  #noteNamed(model: string, named: NamedAge[]): void {
+  #recordNamedVersions(model: string, named: NamedAge[]): void {
     const now = monotonicMilliseconds();
     for (const { version, ageMilliseconds } of named) {
-      this.#named.add(model, { version, namedAt: now - ageMilliseconds });
+      this.#namedVersions.add(model, {
+        version,
+        namedAt: now - ageMilliseconds,
+      });
     }
   }
 
-  /** What lies beside the engine already need not cross any link. */
-  async #takeStaged(manifest: WeightsManifest): Promise<void> {
+  /**
+   * Uses chunks that are already in the engine's staging area, so that they
+   * need not be fetched over the network.
+   */
+  async #recoverStagedChunks(manifest: WeightsManifest): Promise<void> {
     const version = versionName(manifest);
     const added = await this.#loader.recoverStaged(manifest);
     this.#options.log.info("staged-chunks-found", {
@@ -244,10 +281,10 @@
       chunks: added.length,
     });
     if (added.length === 0) return;
-    this.#links.broadcast((address) => this.#wholeReport(address));
+    this.#links.broadcast((address) => this.#buildFullReport(address));
   }
 
-  #announcement() {
+  #buildAnnouncement() {
     const { settings } = this.#options;
     const stager = settings.stager!;
     return {
@@ -262,24 +299,30 @@
         servingVersion: this.#loader.servingVersion,
         accepting: this.#loader.isAccepting,
         usesWeights: true,
-        linkBytesPerSecond: this.#chunksRate,
+        linkBytesPerSecond: this.#chunkBytesPerSecond,
         engineAddress: stager.engine,
         engineBornAt: this.#loader.engineBornAt,
-        // The steady clock goes on over restarts of this process.
+        // The monotonic clock isn't reset when this process restarts, so the
+        // sequence still rises.
         sequence: Number(
-          process.hrtime.bigint() / NANOSECONDS_IN_MICROSECOND,
+          process.hrtime.bigint() / NANOSECONDS_PER_MICROSECOND,
         ),
       },
     };
   }
 
-  #wholeReport(address: string) {
+  #buildFullReport(address: string) {
     const { version } = this.#target!;
     const added = this.#cache.wholeBlocks(version);
-    return this.#report(address, { version, added, failed: [], whole: true });
+    return this.#buildReport(address, {
+      version,
+      added,
+      failed: [],
+      whole: true,
+    });
   }
 
-  #report(address: string, change: ChunkChange & { whole?: boolean }) {
+  #buildReport(address: string, change: BlockChange & { whole?: boolean }) {
     return {
       case: "chunks" as const,
       value: {
