--- a/packages/daemon/src/rollout/rollout_hub.ts
+++ b/packages/daemon/src/rollout/rollout_hub.ts
@@ -38,7 +38,7 @@
   namedAges: (model: string) => { version: number; ageMilliseconds: number }[];
 };
 
-type DataCentreState = { coordinator: SpreadCoordinator; turns: LoadTurns };
+type DataCentreState = { coordinator: SpreadCoordinator; permits: LoadTurns };
 
 /**
  * The control host's part in distributing weights to engines. Stagers choose
@@ -47,6 +47,7 @@
  */
 export class RolloutHub {
   #options: Options;
+  /** By data centre. */
   #states = new Map<string, DataCentreState>();
   /** The latest session of each stager, by backend server name. */
   #sessions = new Map<string, StagerSession>();
@@ -112,9 +113,9 @@
     const name = session.announcement?.backendServer ?? "";
     if (this.#sessions.get(name) !== session) return false;
     this.#sessions.delete(name);
-    for (const { coordinator, turns } of this.#states.values()) {
+    for (const { coordinator, permits } of this.#states.values()) {
       coordinator.removeHost(name);
-      turns.end(name);
+      permits.end(name);
     }
     return true;
   }
@@ -144,7 +145,7 @@
       [...this.#sessions.values()].filter((other) =>
         other.announcement?.dataCentre === dataCentre
       ).length;
-    return this.#getOrCreateDataCentre(dataCentre).turns.take(backendServer, {
+    return this.#getOrCreateDataCentre(dataCentre).permits.take(backendServer, {
       hosts,
       wasServing,
       now,
@@ -153,7 +154,7 @@
 
   releasePermit(session: StagerSession): void {
     const { backendServer, dataCentre } = session.announcement!;
-    this.#getOrCreateDataCentre(dataCentre).turns.end(backendServer);
+    this.#getOrCreateDataCentre(dataCentre).permits.end(backendServer);
   }
 
   #listTargetVersions(): Set<string> {
@@ -162,12 +163,12 @@
   }
 
   #getOrCreateDataCentre(dataCentre: string): DataCentreState {
-    let centre = this.#states.get(dataCentre);
-    if (centre === undefined) {
-      centre = this.#createDataCentre(dataCentre);
-      this.#states.set(dataCentre, centre);
+    let state = this.#states.get(dataCentre);
+    if (state === undefined) {
+      state = this.#createDataCentre(dataCentre);
+      this.#states.set(dataCentre, state);
     }
-    return centre;
+    return state;
   }
 
   #createDataCentre(dataCentre: string): DataCentreState {
@@ -196,6 +197,6 @@
       outShare: MAX_LOADING_SHARE,
       turnMilliseconds: PERMIT_TIMEOUT_MILLISECONDS,
     });
-    return { coordinator, turns: permits };
+    return { coordinator, permits };
   }
 }
--- a/packages/daemon/src/rollout/spread_coordinator.ts
+++ b/packages/daemon/src/rollout/spread_coordinator.ts
@@ -22,7 +22,7 @@
  */
 const SOURCE_AVOIDANCE_MILLISECONDS = 1_500;
 const MAX_PEERS_PER_PLAN = 8;
-const MAX_EARLY_REPORTS = 10_000;
+const MAX_DEFERRED_REPORTS = 10_000;
 
 type Host = {
   backendServer: string;
@@ -45,7 +45,7 @@
   #hosts = new Map<string, Host>();
   #tables = new Map<string, SpreadTable>();
   /** Reports on versions that this process doesn't know yet. */
-  #earlyReports: { backendServer: string; report: ChunkReport }[] = [];
+  #deferred: { backendServer: string; report: ChunkReport }[] = [];
   #isPlanScheduled = false;
   /** Runs while a host that follows the plans lacks chunks. */
   #timer: NodeJS.Timeout | undefined;
@@ -77,9 +77,9 @@
         dataCentre: this.#options.dataCentre,
       }),
     );
-    const early = this.#earlyReports;
-    this.#earlyReports = [];
-    for (const { backendServer, report } of early) {
+    const deferred = this.#deferred;
+    this.#deferred = [];
+    for (const { backendServer, report } of deferred) {
       this.takeReport(backendServer, report);
     }
   }
@@ -130,10 +130,8 @@
   }
 
   #deferReport(backendServer: string, report: ChunkReport): void {
-    this.#earlyReports.push({ backendServer, report });
-    if (this.#earlyReports.length > MAX_EARLY_REPORTS) {
-      this.#earlyReports.shift();
-    }
+    this.#deferred.push({ backendServer, report });
+    if (this.#deferred.length > MAX_DEFERRED_REPORTS) this.#deferred.shift();
   }
 
   #schedulePlan(): void {
