--- a/packages/daemon/src/spread/spread_client.ts
+++ b/packages/daemon/src/spread/spread_client.ts
@@ -22,7 +22,7 @@
   version: string;
   store: string;
   startedAt: number;
-  stop: AbortController;
+  abortController: AbortController;
 };
 
 /** Numbers of blocks that were fetched, or whose fetch failed. */
@@ -64,7 +64,7 @@
 
   stop(): void {
     clearInterval(this.#timer);
-    this.#target?.stop.abort();
+    this.#target?.abortController.abort();
   }
 
   /**
@@ -86,7 +86,7 @@
   setTarget(manifest: WeightsManifest, store: string): void {
     const version = versionName(manifest);
     if (this.#target?.version === version) return;
-    this.#target?.stop.abort();
+    this.#target?.abortController.abort();
     this.#fetching = new Set();
     const startedAt = monotonicMilliseconds();
     const abortController = new AbortController();
@@ -95,7 +95,7 @@
       version,
       store,
       startedAt,
-      stop: abortController,
+      abortController,
     };
     this.#plannedAt = startedAt;
     this.#options.cache.begin(manifest);
@@ -158,7 +158,7 @@
 
   async #fetch(target: Target, block: number, source: string): Promise<void> {
     const { cache, fetcher } = this.#options;
-    const { version, manifest, store, stop } = target;
+    const { version, manifest, store, abortController } = target;
     const chunks = cache.blocks(version)!.chunksOf(block).filter((chunk) =>
       cache.chunk(version, chunk) === undefined
     );
@@ -170,7 +170,7 @@
       return this.#emitChange(target, { added: [], failed: [block] });
     }
     this.#fetching.add(block);
-    const { signal } = stop;
+    const { signal } = abortController;
     const request = { manifest, store, chunks, source, signal };
     const bytes = await fetcher.fetch(request);
     if (signal.aborted) return;
