--- a/packages/storage/src/data_folder.ts
+++ b/packages/storage/src/data_folder.ts
@@ -25,44 +25,47 @@
 
 const IDENTITY_FILE = "identity.json";
 const SNAPSHOT_FILE = "snapshot.bin";
-const SEGMENT = /^log-(\d{8})\.bin$/;
+const SEGMENT_PATTERN = /^log-(\d{8})\.bin$/;
 const CRC_BYTES = 4;
-const RANDOM_BYTES = 6;
+const ID_RANDOM_BYTES = 6;
 
-function segmentName(number: number): string {
+function segmentFileName(number: number): string {
   return `log-${String(number).padStart(8, "0")}.bin`;
 }
 
-function damaged(file: string, detail: string): StorageProblem {
+function damagedProblem(file: string, detail: string): StorageProblem {
   return {
     kind: "damaged",
     detail: `${file} ${detail}; replace this member (docs/OPERATIONS.md)`,
   };
 }
 
-/** One member's durable state: whose it is, a snapshot, and the log. */
+/** A Raft member's durable state: its identity, a snapshot and the log. */
 export class DataFolder {
   readonly identity: MemberIdentity;
   readonly restored: RestoredLog;
   #folder: string;
   #writer: LogWriter;
-  #segment: number;
+  #segmentNumber: number;
 
   private constructor(options: {
     folder: string;
     identity: MemberIdentity;
     restored: RestoredLog;
     writer: LogWriter;
-    segment: number;
+    segmentNumber: number;
   }) {
     this.#folder = options.folder;
     this.identity = options.identity;
     this.restored = options.restored;
     this.#writer = options.writer;
-    this.#segment = options.segment;
+    this.#segmentNumber = options.segmentNumber;
   }
 
-  /** Opens a member's folder, or founds an empty one under a new id. */
+  /**
+   * Locks and opens the data folder of the member `name`. An empty folder gets
+   * a new member id. A torn record at the end of the log is cut off.
+   */
   static async open(
     folder: string,
     name: string,
@@ -75,18 +78,20 @@
     if (snapshot.isErr) return Result.err(snapshot.error);
     const log = await readLog(folder, snapshot.value);
     if (log.isErr) return Result.err(log.error);
-    const { restored, segment, wholeBytes } = log.value;
-    const file = await NodeLogFile.open(join(folder, segmentName(segment)));
-    await file.truncate(wholeBytes);
+    const { restored, segmentNumber, validBytes } = log.value;
+    const file = await NodeLogFile.open(
+      join(folder, segmentFileName(segmentNumber)),
+    );
+    await file.truncate(validBytes);
     await syncFolder(folder);
-    const writer = new LogWriter(file, wholeBytes);
+    const writer = new LogWriter(file, validBytes);
     return Result.ok(
       new DataFolder({
         folder,
         identity: identity.value,
         restored,
         writer,
-        segment,
+        segmentNumber,
       }),
     );
   }
@@ -100,26 +105,27 @@
   }
 
   /**
-   * Stores a snapshot and begins a new segment with what follows it. The
-   * order keeps every crash safe: the new segment is whole before the
-   * snapshot names it unneeded, and old segments go last.
+   * Stores a snapshot and starts a new segment with the hard state and entries
+   * that follow it. The order makes a crash at any point safe: the new segment
+   * is complete before the snapshot makes the old segments unnecessary, and
+   * the old segments are removed last.
    */
   async saveSnapshot(
     snapshot: SnapshotData,
-    rest: { hardState: HardState; entries: LogBatch["entries"] },
+    tail: { hardState: HardState; entries: LogBatch["entries"] },
   ): Promise<Result<void, StorageProblem>> {
-    const segment = this.#segment + 1;
-    const path = join(this.#folder, segmentName(segment));
-    // Under its final name only once whole: a segment that begins by cutting
-    // the log and then ends torn would take confirmed entries with it.
+    const segmentNumber = this.#segmentNumber + 1;
+    const path = join(this.#folder, segmentFileName(segmentNumber));
+    // The segment gets its final name only once complete: it begins with a
+    // truncation of the log, so a torn one would lose confirmed entries.
     const temporary = `${path}.new`;
     await rm(temporary, { force: true });
     const file = await NodeLogFile.open(temporary);
     const writer = new LogWriter(file, 0);
     const written = await writer.append({
-      hardState: rest.hardState,
+      hardState: tail.hardState,
       truncateFrom: snapshot.lastIndex + 1,
-      entries: rest.entries,
+      entries: tail.entries,
     });
     if (written.isErr) {
       await writer.close();
@@ -134,8 +140,8 @@
     );
     await this.#writer.close();
     this.#writer = writer;
-    this.#segment = segment;
-    await this.#removeSegmentsBefore(segment);
+    this.#segmentNumber = segmentNumber;
+    await this.#removeSegmentsBefore(segmentNumber);
     return Result.ok(undefined);
   }
 
@@ -144,18 +150,18 @@
     await rm(join(this.#folder, "lock"), { force: true });
   }
 
-  async #removeSegmentsBefore(segment: number): Promise<void> {
-    for (const number of await segmentsIn(this.#folder)) {
-      if (number < segment) {
-        await rm(join(this.#folder, segmentName(number)));
+  async #removeSegmentsBefore(segmentNumber: number): Promise<void> {
+    for (const number of await listSegmentNumbers(this.#folder)) {
+      if (number < segmentNumber) {
+        await rm(join(this.#folder, segmentFileName(number)));
       }
     }
   }
 }
 
-async function segmentsIn(folder: string): Promise<number[]> {
+async function listSegmentNumbers(folder: string): Promise<number[]> {
   return (await readdir(folder))
-    .map((file) => SEGMENT.exec(file)?.[1])
+    .map((file) => SEGMENT_PATTERN.exec(file)?.[1])
     .filter((digits) => digits !== undefined)
     .map(Number)
     .sort((left, right) => left - right);
@@ -168,10 +174,10 @@
   const path = join(folder, IDENTITY_FILE);
   const text = await readFile(path, "utf8").catch(() => undefined);
   if (text === undefined) {
-    if ((await segmentsIn(folder)).length > 0) {
-      return Result.err(damaged(path, "is missing beside a log"));
+    if ((await listSegmentNumbers(folder)).length > 0) {
+      return Result.err(damagedProblem(path, "is missing beside a log"));
     }
-    const id = `${name}-${randomBytes(RANDOM_BYTES).toString("hex")}`;
+    const id = `${name}-${randomBytes(ID_RANDOM_BYTES).toString("hex")}`;
     const identity: MemberIdentity = { format: 1, name, id };
     await writeDurably(
       path,
@@ -180,7 +186,7 @@
     return Result.ok(identity);
   }
   const parsed = memberIdentitySchema.safeParse(parseJson(text));
-  if (!parsed.success) return Result.err(damaged(path, "can't be read"));
+  if (!parsed.success) return Result.err(damagedProblem(path, "can't be read"));
   if (parsed.data.name !== name) {
     return Result.err({
       kind: "other-member",
@@ -216,34 +222,36 @@
   if (
     bytes.length < CRC_BYTES || crc32(payload) !== bytes.readUInt32LE(0)
   ) {
-    return Result.err(damaged(path, "has a bad checksum"));
+    return Result.err(damagedProblem(path, "has a bad checksum"));
   }
   return Result.ok(fromBinary(SnapshotDataSchema, payload));
 }
 
 async function readLog(folder: string, snapshot: SnapshotData) {
-  const numbers = await segmentsIn(folder);
+  const segmentNumbers = await listSegmentNumbers(folder);
   const records = [];
-  let wholeBytes = 0;
-  for (const number of numbers) {
-    const path = join(folder, segmentName(number));
+  let validBytes = 0;
+  for (const number of segmentNumbers) {
+    const path = join(folder, segmentFileName(number));
     const bytes = await readFile(path);
     const read = readSegment(bytes);
     if (read.isErr) {
-      return Result.err(damaged(path, `is damaged at byte ${read.error}`));
+      return Result.err(
+        damagedProblem(path, `is damaged at byte ${read.error}`),
+      );
     }
-    const torn = read.value.wholeBytes < bytes.length;
-    if (torn && number !== numbers.at(-1)) {
+    const isTorn = read.value.validBytes < bytes.length;
+    if (isTorn && number !== segmentNumbers.at(-1)) {
       return Result.err(
-        damaged(path, `is damaged at byte ${read.value.wholeBytes}`),
+        damagedProblem(path, `is damaged at byte ${read.value.validBytes}`),
       );
     }
     records.push(...read.value.records);
-    wholeBytes = read.value.wholeBytes;
+    validBytes = read.value.validBytes;
   }
   return Result.ok({
     restored: replayRecords(snapshot, records),
-    segment: numbers.at(-1) ?? 1,
-    wholeBytes,
+    segmentNumber: segmentNumbers.at(-1) ?? 1,
+    validBytes,
   });
 }
--- a/packages/storage/src/data_folder_test.ts
+++ b/packages/storage/src/data_folder_test.ts
@@ -52,18 +52,18 @@
   return opened.value;
 }
 
-function texts(folder: DataFolder): string[] {
+function entryTexts(folder: DataFolder): string[] {
   return folder.restored.entries.map((one) =>
     new TextDecoder().decode(one.data)
   );
 }
 
-function lastSegment(folder: string): string {
+function findLastSegment(folder: string): string {
   const names = readdirSync(folder).filter((name) => name.startsWith("log-"));
   return join(folder, names.sort().at(-1)!);
 }
 
-async function folderWith(count: number): Promise<string> {
+async function createFolderWithEntries(count: number): Promise<string> {
   const path = temporaryFolder();
   const folder = await openFolder(path);
   for (let index = 1; index <= count; index += 1) {
@@ -73,11 +73,11 @@
   return path;
 }
 
-test("hundreds of changes come back exactly after a restart", async () => {
-  const path = await folderWith(300);
+test("hundreds of entries are restored exactly after a restart", async () => {
+  const path = await createFolderWithEntries(300);
   const folder = await openFolder(path);
   assert.deepEqual(
-    texts(folder),
+    entryTexts(folder),
     Array.from({ length: 300 }, (_, index) => `change ${index + 1}`),
   );
   assert.equal(folder.restored.hardState.votedFor, "x");
@@ -85,49 +85,49 @@
   rmSync(path, { recursive: true });
 });
 
-test("a kill at any byte of a write loses only what was not confirmed", async () => {
-  // Story: the process is killed in the middle of writing its last batch.
-  // After the restart every confirmed change is there, the last is there
-  // whole or not at all, and the folder takes new changes.
-  const path = await folderWith(5);
-  const before = readFileSync(lastSegment(path)).length;
+test("a kill at any byte of a write loses only unconfirmed entries", async () => {
+  // The process is killed while it writes its last batch. After the restart the
+  // log must contain all confirmed entries, each entry of the last batch whole
+  // or not at all, and accept new entries.
+  const path = await createFolderWithEntries(5);
+  const before = readFileSync(findLastSegment(path)).length;
   const folder = await openFolder(path);
   await folder.append(batch([entry(6), entry(7)], 2));
   await folder.close();
-  const whole = readFileSync(lastSegment(path));
+  const whole = readFileSync(findLastSegment(path));
   for (let length = before; length <= whole.length; length += 1) {
     const copy = temporaryFolder();
     cpSync(path, copy, { recursive: true });
-    truncateSync(lastSegment(copy), length);
+    truncateSync(findLastSegment(copy), length);
     const reopened = await openFolder(copy);
-    const found = texts(reopened);
+    const found = entryTexts(reopened);
     assert.ok(found.length >= 5 && found.length <= 7, `at byte ${length}`);
     assert.ok(reopened.restored.hardState.term >= 1);
     const next = found.length + 1;
     assert.ok((await reopened.append(batch([entry(next)], 3))).isOk);
     await reopened.close();
     const again = await openFolder(copy);
-    assert.equal(texts(again).length, next, `at byte ${length}`);
+    assert.equal(entryTexts(again).length, next, `at byte ${length}`);
     await again.close();
     rmSync(copy, { recursive: true });
   }
   rmSync(path, { recursive: true });
 });
 
-test("a zero-filled tail is cut like a torn one", async () => {
-  const path = await folderWith(3);
-  appendFileSync(lastSegment(path), new Uint8Array(64));
+test("a zero-filled tail is cut off like a torn record", async () => {
+  const path = await createFolderWithEntries(3);
+  appendFileSync(findLastSegment(path), new Uint8Array(64));
   const folder = await openFolder(path);
-  assert.equal(texts(folder).length, 3);
+  assert.equal(entryTexts(folder).length, 3);
   await folder.close();
   rmSync(path, { recursive: true });
 });
 
-test("damage before confirmed changes is refused, naming file and byte", async () => {
-  // Story: a bit turns in the middle of the log. Going on without the rest
-  // would forget accepted changes, so the member must not start.
-  const path = await folderWith(20);
-  const file = lastSegment(path);
+test("damage before confirmed entries is refused, naming file and byte", async () => {
+  // A bit flips in the middle of the log. Continuing without the entries after
+  // it would lose accepted changes, so the member must not start.
+  const path = await createFolderWithEntries(20);
+  const file = findLastSegment(path);
   const bytes = readFileSync(file);
   bytes[40] = bytes[40]! ^ 1;
   writeFileSync(file, bytes);
@@ -140,7 +140,7 @@
 });
 
 test("a damaged snapshot is refused", async () => {
-  const path = await folderWith(4);
+  const path = await createFolderWithEntries(4);
   const folder = await openFolder(path);
   await folder.saveSnapshot(create(SnapshotDataSchema, { lastIndex: 4 }), {
     hardState: create(HardStateSchema, { term: 1 }),
@@ -157,7 +157,7 @@
 });
 
 test("a snapshot keeps the entries that follow it and drops old segments", async () => {
-  const path = await folderWith(10);
+  const path = await createFolderWithEntries(10);
   const folder = await openFolder(path);
   const snapshot = create(SnapshotDataSchema, {
     lastIndex: 8,
@@ -173,7 +173,7 @@
   await folder.append(batch([entry(11)], 4));
   await folder.close();
   const again = await openFolder(path);
-  assert.deepEqual(texts(again), ["change 9", "change 10", "change 11"]);
+  assert.deepEqual(entryTexts(again), ["change 9", "change 10", "change 11"]);
   assert.equal(again.restored.snapshot.lastIndex, 8);
   assert.equal(again.restored.hardState.term, 4);
   assert.equal(
@@ -185,11 +185,11 @@
 });
 
 test("a crash between new segment and snapshot loses nothing", async () => {
-  // Story: the process is killed after the new segment has its name but
-  // before the snapshot is written: both segments are read, in order.
-  const path = await folderWith(6);
-  const old = readFileSync(lastSegment(path));
-  const oldName = lastSegment(path);
+  // The process is killed after the new segment was renamed but before the
+  // snapshot was written: both segments must be read, in order.
+  const path = await createFolderWithEntries(6);
+  const old = readFileSync(findLastSegment(path));
+  const oldName = findLastSegment(path);
   const folder = await openFolder(path);
   await folder.saveSnapshot(
     create(SnapshotDataSchema, { lastIndex: 4, lastTerm: 1 }),
@@ -202,22 +202,22 @@
   rmSync(join(path, "snapshot.bin"));
   writeFileSync(oldName, old);
   const again = await openFolder(path);
-  assert.equal(texts(again).length, 6);
+  assert.equal(entryTexts(again).length, 6);
   await again.close();
   rmSync(path, { recursive: true });
 });
 
 test("another member's folder is refused", async () => {
-  const path = await folderWith(1);
+  const path = await createFolderWithEntries(1);
   const opened = await DataFolder.open(path, "kel-1");
   assert.ok(opened.isErr && opened.error.kind === "other-member");
   assert.match(opened.error.detail, /belongs to van-1, not to kel-1/);
   rmSync(path, { recursive: true });
 });
 
-test("an emptied folder comes back under another id", async () => {
-  // Story: a voter's disk is lost. Under its old id it could vote a second
-  // time in a term that it has forgotten.
+test("an emptied folder gets a new member id", async () => {
+  // A voter's disk is lost. Under its old id the voter could vote a second time
+  // in a term whose vote it no longer has.
   const path = temporaryFolder();
   const first = await openFolder(path);
   await first.close();
@@ -229,8 +229,8 @@
   rmSync(path, { recursive: true });
 });
 
-test("a folder that a living process holds is refused", async () => {
-  const path = await folderWith(1);
+test("a folder locked by a running process is refused", async () => {
+  const path = await createFolderWithEntries(1);
   const fields = readFileSync("/proc/1/stat", "utf8").split(") ")[1]!;
   writeFileSync(join(path, "lock"), `1 ${fields.split(" ")[19]}`);
   const opened = await DataFolder.open(path, NAME);
@@ -238,10 +238,10 @@
   rmSync(path, { recursive: true });
 });
 
-test("a lock whose process id is another process's now is taken over", async () => {
-  // Story: a control host is killed and starts again; meanwhile its process
-  // id was given to something else. The folder would stay locked, and the
-  // host would end itself at every start.
+test("a lock whose process id was reused by another process is taken over", async () => {
+  // A control host is killed and restarted; meanwhile its process id was given
+  // to another process. If the lock held only the id, the folder would stay
+  // locked and the control host would exit at every start.
   const path = temporaryFolder();
   writeFileSync(join(path, "lock"), "1 0");
   const opened = await DataFolder.open(path, NAME);
--- a/packages/storage/src/is_disk_full.ts
+++ b/packages/storage/src/is_disk_full.ts
@@ -1,4 +1,4 @@
-/** Whether a write failed for want of space. */
+/** Whether a write failed because the disk or the quota is full. */
 export function isDiskFull(error: unknown): boolean {
   const code = (error as { code?: string }).code;
   return code === "ENOSPC" || code === "EDQUOT";
--- a/packages/storage/src/log_batch.ts
+++ b/packages/storage/src/log_batch.ts
@@ -1,6 +1,9 @@
 import type { HardState, LogEntry } from "@teaselrouter/messages/control.ts";
 
-/** What one sync makes last. */
+/**
+ * Changes to the log that become durable with one sync. `truncateFrom` is the
+ * index from which the log's old entries are removed.
+ */
 export type LogBatch = {
   hardState: HardState | undefined;
   truncateFrom: number | undefined;
--- a/packages/storage/src/log_file.ts
+++ b/packages/storage/src/log_file.ts
@@ -1,6 +1,6 @@
 import type { Buffer } from "node:buffer";
 
-/** An append-only file; the edge to the disk that tests can make fail. */
+/** File operations for a log segment; tests implement them to inject faults. */
 export interface LogFile {
   write(bytes: Buffer, position: number): Promise<void>;
   sync(): Promise<void>;
--- a/packages/storage/src/log_writer.ts
+++ b/packages/storage/src/log_writer.ts
@@ -9,22 +9,23 @@
 import { recordCodec } from "./record_codec.ts";
 import type { StorageProblem } from "./storage_problem.ts";
 
-function recordsOf(batch: LogBatch): LogRecord[] {
+function toLogRecords(batch: LogBatch): LogRecord[] {
   const records: LogRecord[] = [];
-  const push = (record: LogRecord["record"]) =>
+  const addRecord = (record: LogRecord["record"]) =>
     records.push(create(LogRecordSchema, { record }));
-  // The term goes first: torn behind it, no entry is newer than the term.
+  // The hard state comes first: wherever a write is torn, the log contains no
+  // entry of a later term than the stored one.
   if (batch.hardState !== undefined) {
-    push({ case: "hardState", value: batch.hardState });
+    addRecord({ case: "hardState", value: batch.hardState });
   }
   if (batch.truncateFrom !== undefined) {
-    push({ case: "truncateFrom", value: batch.truncateFrom });
+    addRecord({ case: "truncateFrom", value: batch.truncateFrom });
   }
-  for (const value of batch.entries) push({ case: "entry", value });
+  for (const value of batch.entries) addRecord({ case: "entry", value });
   return records;
 }
 
-/** Appends batches to one log segment, each lasting once its sync is done. */
+/** Appends batches to a log segment; each is durable once it is synced. */
 export class LogWriter {
   #file: LogFile;
   #length: number;
@@ -39,12 +40,13 @@
   }
 
   /**
-   * A full disk leaves the segment as it was, so the batch may be tried
-   * again. A failed sync may have dropped pages that read back as written,
-   * so nothing after it can be trusted: the process must stop.
+   * Appends a batch and syncs the segment. After "disk-full" the segment is as
+   * before, and the batch may be retried. After "sync-failed" the process must
+   * stop: the kernel may have dropped pages that still read back as written, so
+   * no later write can be trusted.
    */
   async append(batch: LogBatch): Promise<Result<void, StorageProblem>> {
-    const bytes = Buffer.concat(recordsOf(batch).map(recordCodec.encode));
+    const bytes = Buffer.concat(toLogRecords(batch).map(recordCodec.encode));
     try {
       await this.#file.write(bytes, this.#length);
     } catch (error) {
--- a/packages/storage/src/log_writer_test.ts
+++ b/packages/storage/src/log_writer_test.ts
@@ -7,20 +7,20 @@
 import { LogWriter } from "./log_writer.ts";
 import { readSegment } from "./read_segment.ts";
 
-/** A disk that fills up or fails to sync when told to. */
+/** An in-memory file that can fill up and whose syncs can fail. */
 class FaultyFile implements LogFile {
   bytes = Buffer.alloc(0);
-  room = Infinity;
+  capacity = Infinity;
   failsSync = false;
 
   write(bytes: Buffer, position: number): Promise<void> {
-    const taken = Math.min(bytes.length, this.room - position);
+    const writableBytes = Math.min(bytes.length, this.capacity - position);
     this.bytes = Buffer.concat([
       this.bytes.subarray(0, position),
-      bytes.subarray(0, taken),
+      bytes.subarray(0, writableBytes),
     ]);
-    if (taken === bytes.length) return Promise.resolve();
-    return Promise.reject(Object.assign(new Error("no room"), {
+    if (writableBytes === bytes.length) return Promise.resolve();
+    return Promise.reject(Object.assign(new Error("no space left"), {
       code: "ENOSPC",
     }));
   }
@@ -41,7 +41,7 @@
   }
 }
 
-function vote(term: number) {
+function hardStateBatch(term: number) {
   return {
     hardState: create(HardStateSchema, { term }),
     truncateFrom: undefined,
@@ -49,27 +49,27 @@
   };
 }
 
-test("a full disk leaves the log whole, and it goes on when there is room", async () => {
-  // Story: the disk fills in the middle of a write. The change is refused,
-  // what stood before is still whole, and later changes follow on it.
+test("a full disk leaves the log intact and writable once there is space", async () => {
+  // The disk fills up during a write. The batch must be refused, the earlier
+  // batches must stay intact, and later batches must be appended after them.
   const file = new FaultyFile();
   const writer = new LogWriter(file, 0);
-  assert.ok((await writer.append(vote(1))).isOk);
+  assert.ok((await writer.append(hardStateBatch(1))).isOk);
   const length = file.bytes.length;
-  file.room = length + 5;
-  const refused = await writer.append(vote(2));
+  file.capacity = length + 5;
+  const refused = await writer.append(hardStateBatch(2));
   assert.ok(refused.isErr && refused.error.kind === "disk-full");
   assert.equal(file.bytes.length, length);
-  file.room = Infinity;
-  assert.ok((await writer.append(vote(2))).isOk);
+  file.capacity = Infinity;
+  assert.ok((await writer.append(hardStateBatch(2))).isOk);
   const read = readSegment(file.bytes);
   assert.ok(read.isOk);
   assert.equal(read.value.records.length, 2);
 });
 
-test("a failed sync is told apart from a full disk", async () => {
+test("a failed sync is distinguished from a full disk", async () => {
   const file = new FaultyFile();
   file.failsSync = true;
-  const written = await new LogWriter(file, 0).append(vote(1));
+  const written = await new LogWriter(file, 0).append(hardStateBatch(1));
   assert.ok(written.isErr && written.error.kind === "sync-failed");
 });
--- a/packages/storage/src/member_identity.ts
+++ b/packages/storage/src/member_identity.ts
@@ -1,5 +1,5 @@
 import type * as z from "zod";
 import type { memberIdentitySchema } from "./member_identity_schema.ts";
 
-/** Whose data folder this is. */
+/** Identifies the member that owns a data folder. */
 export type MemberIdentity = z.infer<typeof memberIdentitySchema>;
--- a/packages/storage/src/node_log_file.ts
+++ b/packages/storage/src/node_log_file.ts
@@ -2,7 +2,7 @@
 import { type FileHandle, open } from "node:fs/promises";
 import type { LogFile } from "./log_file.ts";
 
-/** A log file on the host's disk. */
+/** A log file in the local file system. */
 export class NodeLogFile implements LogFile {
   #handle: FileHandle;
 
@@ -11,7 +11,7 @@
   }
 
   static async open(path: string): Promise<NodeLogFile> {
-    return new NodeLogFile(await open(path, "a+").then(reopenForWriting(path)));
+    return new NodeLogFile(await open(path, "a+").then(reopenForUpdate(path)));
   }
 
   async write(bytes: Buffer, position: number): Promise<void> {
@@ -40,8 +40,11 @@
   }
 }
 
-/** "a+" creates the file; positioned writes need it open for update. */
-function reopenForWriting(path: string) {
+/**
+ * Reopens a file that "a+" created for update ("r+"): Linux ignores the
+ * position of a write to a file that is open for appending.
+ */
+function reopenForUpdate(path: string) {
   return async (created: FileHandle): Promise<FileHandle> => {
     await created.close();
     return open(path, "r+");
--- a/packages/storage/src/power_loss_test.ts
+++ b/packages/storage/src/power_loss_test.ts
@@ -29,87 +29,91 @@
 const NAME = "van-1";
 
 /**
- * What would be left of this process's files if the host lost power: of each
- * file what its last sync covered, of each folder the names it held then.
+ * Models which of this process's files would survive a power loss: of each file
+ * the content at its last sync, of each folder the names at its last sync.
  */
 class DurableFiles {
-  #contents = new Map<number, Buffer>();
-  #names = new Map<string, Map<string, number>>();
-  #losses = 0;
-  /** Called ahead of each sync of a folder, when names may last or not. */
-  beforeNames: (() => void) | undefined;
+  #syncedContents = new Map<number, Buffer>();
+  #syncedFolders = new Map<string, Map<string, number>>();
+  #copyCount = 0;
+  /**
+   * Called before each sync of a folder, while changes of names may or may not
+   * survive a power loss.
+   */
+  beforeFolderSync: (() => void) | undefined;
   #restore = () => {};
 
-  /** Listens to every sync that this process makes. */
-  async listen(): Promise<void> {
+  /** Starts recording every file and folder sync of this process. */
+  async recordSyncs(): Promise<void> {
     const handle = await open(process.execPath);
     const prototype = Object.getPrototypeOf(handle) as FileHandle;
     await handle.close();
     const { sync, datasync } = prototype;
-    const note = (handle: FileHandle) => this.#note(handle);
-    const ahead = (handle: FileHandle) => {
-      if (statSync(pathOf(handle)).isDirectory()) this.beforeNames?.();
+    const recordSync = (handle: FileHandle) => this.#recordSync(handle);
+    const announceFolderSync = (handle: FileHandle) => {
+      if (statSync(getPath(handle)).isDirectory()) this.beforeFolderSync?.();
     };
     prototype.sync = async function (this: FileHandle) {
-      ahead(this);
+      announceFolderSync(this);
       await sync.call(this);
-      note(this);
+      recordSync(this);
     };
     prototype.datasync = async function (this: FileHandle) {
       await datasync.call(this);
-      note(this);
+      recordSync(this);
     };
     this.#restore = () => Object.assign(prototype, { sync, datasync });
   }
 
-  stop(): void {
+  restoreSyncs(): void {
     this.#restore();
   }
 
   /**
-   * Makes `folder` anew, at another place, as a loss of power leaves it.
+   * Copies `folder` to a new path as a power loss would leave it.
    *
-   * @param kept names that last though the folder was not synced since.
+   * @param kept names that survive although the folder was not synced
+   * since they were created.
    */
-  losePower(folder: string, kept: string[] = []): string {
-    this.#losses += 1;
-    const left = `${folder}-left-${this.#losses}`;
-    mkdirSync(left);
-    const names = new Map(this.#names.get(folder));
+  copyAfterPowerLoss(folder: string, kept: string[] = []): string {
+    this.#copyCount += 1;
+    const copy = `${folder}-left-${this.#copyCount}`;
+    mkdirSync(copy);
+    const names = new Map(this.#syncedFolders.get(folder));
     for (const name of readdirSync(folder)) {
-      if (kept.includes(name)) names.set(name, inodeOf(join(folder, name)));
+      if (kept.includes(name)) names.set(name, getInode(join(folder, name)));
     }
     for (const [name, file] of names) {
-      const content = this.#contents.get(file) ?? Buffer.alloc(0);
-      writeFileSync(join(left, name), content);
+      const content = this.#syncedContents.get(file) ?? Buffer.alloc(0);
+      writeFileSync(join(copy, name), content);
     }
-    return left;
+    return copy;
   }
 
-  #note(handle: FileHandle): void {
-    const path = pathOf(handle);
+  #recordSync(handle: FileHandle): void {
+    const path = getPath(handle);
     const stat = statSync(path);
     if (!stat.isDirectory()) {
-      return void this.#contents.set(stat.ino, readFileSync(path));
+      return void this.#syncedContents.set(stat.ino, readFileSync(path));
     }
     const names = readdirSync(path).map((name) =>
-      [name, inodeOf(join(path, name))] as const
+      [name, getInode(join(path, name))] as const
     );
-    this.#names.set(path, new Map(names));
+    this.#syncedFolders.set(path, new Map(names));
   }
 }
 
-function pathOf(handle: FileHandle): string {
+function getPath(handle: FileHandle): string {
   return readlinkSync(`/proc/self/fd/${handle.fd}`);
 }
 
-function inodeOf(path: string): number {
+function getInode(path: string): number {
   return statSync(path).ino;
 }
 
 const durable = new DurableFiles();
-before(() => durable.listen());
-after(() => durable.stop());
+before(() => durable.recordSyncs());
+after(() => durable.restoreSyncs());
 
 function entry(index: number): LogEntry {
   return create(LogEntrySchema, {
@@ -158,66 +162,66 @@
   );
 }
 
-function indexes(folder: DataFolder): number[] {
+function listIndexes(folder: DataFolder): number[] {
   return folder.restored.entries.map(({ index }) => Number(index));
 }
 
-// An operator's change is acknowledged, and at that moment the host loses
-// power. Had the log been written and not synced, the change would be gone and
-// an older configuration in force, though nothing ever failed.
-test("what was confirmed is there after a loss of power", async () => {
+// The host loses power just after an operator's change was acknowledged. If the
+// log were written but not synced, the change would be lost and an older
+// configuration in force, although no write had failed.
+test("confirmed entries survive a power loss", async () => {
   const folder = newFolder();
   const first = await openFolder(folder);
   for (let index = 1; index <= 5; index += 1) {
     assert.ok((await first.append(batch(entry(index)))).isOk);
-    const left = await openFolder(durable.losePower(folder));
+    const reopened = await openFolder(durable.copyAfterPowerLoss(folder));
     const expected = Array.from({ length: index }, (_, at) => at + 1);
-    assert.deepEqual(indexes(left), expected);
-    assert.equal(left.identity.id, first.identity.id);
-    assert.equal(left.restored.hardState.votedFor, "x");
-    await left.close();
+    assert.deepEqual(listIndexes(reopened), expected);
+    assert.equal(reopened.identity.id, first.identity.id);
+    assert.equal(reopened.restored.hardState.votedFor, "x");
+    await reopened.close();
   }
   await first.close();
   rmSync(dirname(folder), { recursive: true });
 });
 
 // The log is replaced by a snapshot and a new segment. Without a sync of the
-// folder their names can be lost while the old segment's removal is kept: the
-// member would come back empty under an id that has voted.
-test("a snapshot and what follows it survive a loss of power", async () => {
+// folder a power loss could undo their renames but not the removal of the old
+// segment: the member would restart empty under an id that has voted.
+test("a snapshot and the entries after it survive a power loss", async () => {
   const folder = newFolder();
   const first = await openFolder(folder);
   await first.append(batch(entry(1), entry(2), entry(3)));
   const saved = await saveSnapshotAt2(first);
   assert.ok(saved.isOk);
   await first.append(batch(entry(4)));
-  const left = await openFolder(durable.losePower(folder));
-  assert.equal(Number(left.restored.snapshot.lastIndex), 2);
-  assert.deepEqual(indexes(left), [3, 4]);
-  assert.equal(left.identity.id, first.identity.id);
-  await left.close();
+  const reopened = await openFolder(durable.copyAfterPowerLoss(folder));
+  assert.equal(Number(reopened.restored.snapshot.lastIndex), 2);
+  assert.deepEqual(listIndexes(reopened), [3, 4]);
+  assert.equal(reopened.identity.id, first.identity.id);
+  await reopened.close();
   await first.close();
   rmSync(dirname(folder), { recursive: true });
 });
 
-// Power is lost while the snapshot takes its name: that name is kept, and
-// whatever else was not synced is lost. With the new segment's name among that,
-// the changes behind the snapshot would be gone.
-test("a snapshot never lasts without the segment that follows it", async () => {
+// The host loses power while the snapshot is renamed: the new name survives and
+// everything else that was not synced is lost. If that included the name of the
+// new segment, the entries after the snapshot would be lost.
+test("a snapshot never survives without the segment that follows it", async () => {
   const folder = newFolder();
   const first = await openFolder(folder);
   await first.append(batch(entry(1), entry(2), entry(3)));
-  const left: string[] = [];
-  durable.beforeNames = () => {
-    left.push(durable.losePower(folder, ["snapshot.bin"]));
+  const copies: string[] = [];
+  durable.beforeFolderSync = () => {
+    copies.push(durable.copyAfterPowerLoss(folder, ["snapshot.bin"]));
   };
   const saved = await saveSnapshotAt2(first);
-  durable.beforeNames = undefined;
+  durable.beforeFolderSync = undefined;
   assert.ok(saved.isOk);
-  assert.ok(left.length >= 2, "segment and snapshot are named apart");
-  for (const one of left) {
-    const opened = await openFolder(one);
-    assert.equal(indexes(opened).at(-1), 3);
+  assert.ok(copies.length >= 2, "segment and snapshot are synced separately");
+  for (const copy of copies) {
+    const opened = await openFolder(copy);
+    assert.equal(listIndexes(opened).at(-1), 3);
     await opened.close();
   }
   await first.close();
--- a/packages/storage/src/read_segment.ts
+++ b/packages/storage/src/read_segment.ts
@@ -3,16 +3,17 @@
 import { Result } from "true-myth";
 import { recordCodec } from "./record_codec.ts";
 
-const SCANNED_BYTES = 1_048_576;
+/** How far after a bad record to look for a valid one. */
+const MAX_SCAN_BYTES = 1_048_576;
 
 type Segment = {
   records: LogRecord[];
-  /** Bytes that hold whole records; what follows is a torn tail. */
-  wholeBytes: number;
+  /** Length of the valid records; any bytes after them are a torn record. */
+  validBytes: number;
 };
 
-function hasRecordAfter(bytes: Buffer, offset: number): boolean {
-  const end = Math.min(bytes.length, offset + SCANNED_BYTES);
+function hasValidRecordAfter(bytes: Buffer, offset: number): boolean {
+  const end = Math.min(bytes.length, offset + MAX_SCAN_BYTES);
   for (let at = offset + 1; at < end; at += 1) {
     if (recordCodec.decode(bytes, at) !== undefined) return true;
   }
@@ -20,11 +21,11 @@
 }
 
 /**
- * Reads a log segment. A process killed in the middle of a write leaves a
- * last record that is cut short: nothing in it was confirmed, so it is left
- * out. A bad record that whole ones follow is damage to confirmed entries:
- * going on without them could elect a leader that lacks an accepted change,
- * so the byte of the damage is given back as the error.
+ * Reads a log segment. A process killed during a write leaves a torn last
+ * record: nothing in it was confirmed, so it is omitted. A bad record before
+ * valid ones means that confirmed entries are damaged. Continuing without them
+ * could elect a leader that lacks an accepted change, so this is an error: the
+ * byte offset of the bad record.
  */
 export function readSegment(bytes: Buffer): Result<Segment, number> {
   const records: LogRecord[] = [];
@@ -32,12 +33,12 @@
   while (offset < bytes.length) {
     const read = recordCodec.decode(bytes, offset);
     if (read === undefined) {
-      return hasRecordAfter(bytes, offset)
+      return hasValidRecordAfter(bytes, offset)
         ? Result.err(offset)
-        : Result.ok({ records, wholeBytes: offset });
+        : Result.ok({ records, validBytes: offset });
     }
     records.push(read.record);
-    offset = read.next;
+    offset = read.nextOffset;
   }
-  return Result.ok({ records, wholeBytes: offset });
+  return Result.ok({ records, validBytes: offset });
 }
--- a/packages/storage/src/record_codec.ts
+++ b/packages/storage/src/record_codec.ts
@@ -6,9 +6,13 @@
 
 const HEADER_BYTES = 8;
 
-type Read = { record: LogRecord; next: number };
+type DecodedRecord = { record: LogRecord; nextOffset: number };
 
-/** A log record on disk: length and CRC-32, each 4 bytes, then protobuf. */
+/**
+ * Encodes and decodes log records on disk. A record is the length and the
+ * CRC-32 of its payload, 4 bytes each, little-endian, then the protobuf
+ * payload.
+ */
 export const recordCodec = {
   encode(record: LogRecord): Buffer {
     const payload = toBinary(LogRecordSchema, record);
@@ -19,8 +23,11 @@
     return bytes;
   },
 
-  /** Reads the record at `offset`; undefined when none stands there whole. */
-  decode(bytes: Buffer, offset: number): Read | undefined {
+  /**
+   * Decodes the record at `offset`; undefined if there is no complete record
+   * with a correct checksum.
+   */
+  decode(bytes: Buffer, offset: number): DecodedRecord | undefined {
     const start = offset + HEADER_BYTES;
     if (start > bytes.length) return undefined;
     const length = bytes.readUInt32LE(offset);
@@ -29,7 +36,7 @@
     if (crc32(payload) !== bytes.readUInt32LE(offset + 4)) return undefined;
     return {
       record: fromBinary(LogRecordSchema, payload),
-      next: start + length,
+      nextOffset: start + length,
     };
   },
 };
--- a/packages/storage/src/replay_records.ts
+++ b/packages/storage/src/replay_records.ts
@@ -7,7 +7,10 @@
 import { HardStateSchema } from "@teaselrouter/messages/control.ts";
 import type { RestoredLog } from "./restored_log.ts";
 
-/** Builds the log from its records, oldest first, behind a snapshot. */
+/**
+ * Restores the log that follows `snapshot` by replaying its records, oldest
+ * first.
+ */
 export function replayRecords(
   snapshot: SnapshotData,
   records: LogRecord[],
@@ -25,7 +28,9 @@
         break;
       }
       case "entry":
-        // Written twice where a snapshot was taken while it was on its way.
+        // An entry may be recorded twice: `saveSnapshot` writes the entries
+        // that follow the snapshot, and one of these that was still to be
+        // appended is then appended again.
         while ((entries.at(-1)?.index ?? 0) >= record.value.index) {
           entries.pop();
         }
--- a/packages/storage/src/restored_log.ts
+++ b/packages/storage/src/restored_log.ts
@@ -4,7 +4,7 @@
   SnapshotData,
 } from "@teaselrouter/messages/control.ts";
 
-/** What a data folder holds, as the consensus member starts from it. */
+/** State restored from a data folder, from which a Raft member starts. */
 export type RestoredLog = {
   hardState: HardState;
   snapshot: SnapshotData;
--- a/packages/storage/src/storage_problem.ts
+++ b/packages/storage/src/storage_problem.ts
@@ -1,4 +1,7 @@
-/** Why a data folder can't be used; `detail` names the file. */
+/**
+ * Why a data folder can't be opened or written. `detail` names the file or
+ * folder, or is the error of the failed write.
+ */
 export type StorageProblem = {
   kind:
     | "missing-folder"
--- a/packages/storage/src/sync_folder.ts
+++ b/packages/storage/src/sync_folder.ts
@@ -1,6 +1,9 @@
 import { open } from "node:fs/promises";
 
-/** Makes the names in a folder last: a rename alone may be lost in a crash. */
+/**
+ * Syncs a folder's entries to disk. Without this a crash may undo a rename or
+ * the creation of a file.
+ */
 export async function syncFolder(path: string): Promise<void> {
   const folder = await open(path, "r");
   try {
--- a/packages/storage/src/write_durably.ts
+++ b/packages/storage/src/write_durably.ts
@@ -2,7 +2,7 @@
 import { dirname } from "node:path";
 import { syncFolder } from "./sync_folder.ts";
 
-/** Replaces a file so that a crash leaves the old content or the new. */
+/** Replaces a file atomically: a crash leaves the old content or the new. */
 export async function writeDurably(
   path: string,
   bytes: Uint8Array,
