--- a/packages/daemon/src/log/blame_fields.ts
+++ b/packages/daemon/src/log/blame_fields.ts
@@ -1,6 +1,6 @@
 import type { Blame } from "@teaselrouter/core/crashes/blame.ts";
 
-/** What a log line says of a blame; `now` is monotonic. */
+/** Log fields that describe a blame; `now` is in monotonic milliseconds. */
 export function blameFields(blame: Blame, now: number) {
   const { fingerprint, crashes, incarnations, endsAt } = blame;
   return {
--- a/packages/daemon/src/log/event_log.ts
+++ b/packages/daemon/src/log/event_log.ts
@@ -5,42 +5,42 @@
 import { LineWriter } from "./line_writer.ts";
 
 const STANDARD_OUTPUT = 1;
-/** A reader that is there takes some lines in a few milliseconds. */
-const FLUSH_MILLISECONDS = 200;
-const RING_CAPACITY = 2_000;
+/** A reader that is not stuck takes some lines within a few milliseconds. */
+const MAX_FLUSH_MILLISECONDS = 200;
+const TIMELINE_CAPACITY = 2_000;
 const LEVELS = { debug: 2, info: 3, warn: 4, error: 5 } as const;
 
 type Level = keyof typeof LEVELS;
-type Lines = Pick<LineWriter, "write" | "flush">;
+type LineSink = Pick<LineWriter, "write" | "flush">;
 type Fields = Record<string, unknown>;
 
 /**
- * A process's events: one line of key=value pairs each on standard output,
- * and, but for debug ones, an entry of the time line.
+ * Logs a process's events. Each event is one line of key=value pairs on
+ * standard output and, except for debug events, an entry in the timeline.
  */
 export class EventLog {
   readonly ring: TimelineRing;
-  #lines: Lines;
+  #sink: LineSink;
   #countEvent: (event: EventName) => void;
   #logger: Logger<unknown>;
 
   constructor(
     processName: string,
     level: Level,
-    /** Told each event's name. */
+    /** Called with the name of each event except debug events. */
     countEvent: (event: EventName) => void = () => {},
-    lines: Lines = new LineWriter(STANDARD_OUTPUT),
+    sink: LineSink = new LineWriter(STANDARD_OUTPUT),
   ) {
-    this.#lines = lines;
+    this.#sink = sink;
     this.#countEvent = countEvent;
-    this.ring = new TimelineRing(processName, RING_CAPACITY);
+    this.ring = new TimelineRing(processName, TIMELINE_CAPACITY);
     this.#logger = new Logger({
       type: "hidden",
       minLevel: LEVELS[level],
-      // An event's name tells where it was written; finding the position in
-      // the source would cost more than all the rest of a line.
+      // The event's name identifies where it was logged; determining the
+      // position in the source would cost more than all the rest of a line.
       hideLogPositionForProduction: true,
-      // No event bears a secret; to look for some copies every field.
+      // Events contain no secrets, and masking would copy every field.
       maskValuesOfKeys: [],
     });
     this.#logger.attachTransport((line) => {
@@ -53,16 +53,16 @@
         process: processName,
       };
       const isFailure = head.level === "warn" || head.level === "error";
-      lines.write(
+      sink.write(
         `${formatFields({ ...head, ...fields })}\n`,
         isFailure ? "failure" : "usual",
       );
     });
   }
 
-  /** Waits a little for the last lines, ahead of the process's end. */
+  /** Waits briefly for the last lines to be written before the process ends. */
   async flush(): Promise<void> {
-    await this.#lines.flush(FLUSH_MILLISECONDS);
+    await this.#sink.flush(MAX_FLUSH_MILLISECONDS);
   }
 
   debug(event: EventName, fields: Fields = {}): void {
--- a/packages/daemon/src/log/event_log_test.ts
+++ b/packages/daemon/src/log/event_log_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { EventLog } from "./event_log.ts";
 
-test("an event is one line of key=value pairs, and on the time line", () => {
+test("an event is one line of key=value pairs and a timeline entry", () => {
   const lines: string[] = [];
   const log = new EventLog("van-1", "info", undefined, {
     write: (line) => lines.push(line),
--- a/packages/daemon/src/log/event_name.ts
+++ b/packages/daemon/src/log/event_name.ts
@@ -1,4 +1,4 @@
-/** All events that processes write; docs/EVENTS.md says what each means. */
+/** Names of all events that processes log; docs/EVENTS.md explains each. */
 export type EventName =
   | "answer-broken"
   | "asks-to-be-taken-in"
--- a/packages/daemon/src/log/event_name_test.ts
+++ b/packages/daemon/src/log/event_name_test.ts
@@ -10,27 +10,27 @@
   new URL("../../../../docs/EVENTS.md", import.meta.url),
 );
 
-function namesIn(path: string, pattern: RegExp): string[] {
+function findNames(path: string, pattern: RegExp): string[] {
   const text = readFileSync(path, "utf8");
   return [...text.matchAll(pattern)].map((match) => match[1]!).sort();
 }
 
-// An engineer on call looks for an event that an older page told of: it was
-// renamed, and the search finds nothing.
-test("the page lists just the events that there are", () => {
-  const names = namesIn(NAMES, /^ {2}\| "([a-z-]+)"/gm);
+// If an event were renamed in the code but not in docs/EVENTS.md, an engineer
+// on call would search the logs for a name that is no longer written.
+test("docs/EVENTS.md lists exactly the defined events", () => {
+  const names = findNames(NAMES, /^ {2}\| "([a-z-]+)"/gm);
   assert.ok(names.length > 0);
-  assert.deepEqual(namesIn(PAGE, /^\| `([a-z-]+)`/gm), names);
+  assert.deepEqual(findNames(PAGE, /^\| `([a-z-]+)`/gm), names);
 });
 
-test("each of them is written somewhere", () => {
+test("each defined event is logged somewhere", () => {
   const sources = readdirSync(SOURCE, { recursive: true, encoding: "utf8" })
     .filter((name) => name.endsWith(".ts") && !name.endsWith("_test.ts"))
     .map((name) => join(SOURCE, name))
     .filter((path) => path !== NAMES)
     .map((path) => readFileSync(path, "utf8"))
     .join("\n");
-  const unused = namesIn(NAMES, /^ {2}\| "([a-z-]+)"/gm)
+  const unused = findNames(NAMES, /^ {2}\| "([a-z-]+)"/gm)
     .filter((name) => !sources.includes(`"${name}"`));
   assert.deepEqual(unused, []);
 });
--- a/packages/daemon/src/log/line_writer.ts
+++ b/packages/daemon/src/log/line_writer.ts
@@ -1,101 +1,104 @@
 import { Buffer } from "node:buffer";
 import { write } from "node:fs";
 
-/** Lines of a few seconds at the usual rate; more would only be memory. */
-const MOST_WAITING_BYTES = 262_144;
-/** Above it only warnings and errors are kept: they tell of failures. */
-const USUAL_WAITING_BYTES = MOST_WAITING_BYTES / 2;
-/** A reader that takes nothing now is asked again after so long. */
-const RETRY_MILLISECONDS = 50;
+/** A few seconds of lines at the usual rate; more would only take memory. */
+const MAX_PENDING_BYTES = 262_144;
+/** Above this only warnings and errors are buffered: they report failures. */
+const MAX_PENDING_BYTES_FOR_USUAL = MAX_PENDING_BYTES / 2;
+/** Delay before writing again to a reader that takes nothing at the moment. */
+const RETRY_DELAY_MILLISECONDS = 50;
 
-const FLUSH_POLL_MILLISECONDS = 5;
+const FLUSH_POLL_INTERVAL_MILLISECONDS = 5;
 
 type Importance = "usual" | "failure";
 
 /**
- * Writes lines to a descriptor without ever waiting for its reader: a pipe
- * that nobody empties would otherwise stop the whole process at a line. What
- * does not fit is dropped, the usual lines first, and counted in a line.
+ * Writes lines to a file descriptor without blocking on its reader: otherwise a
+ * full pipe that nobody reads would block the whole process. Lines that do not
+ * fit into the buffer are dropped, usual ones first; a line of its own reports
+ * how many.
  */
 export class LineWriter {
   #descriptor: number;
-  #waiting: string[] = [];
-  #waitingBytes = 0;
-  #dropped = { usual: 0, failure: 0 };
+  #pendingLines: string[] = [];
+  #pendingBytes = 0;
+  #droppedLines = { usual: 0, failure: 0 };
   #isWriting = false;
 
   constructor(descriptor: number) {
     this.#descriptor = descriptor;
   }
 
-  /** Bytes that were not taken by the reader yet. */
-  get waitingBytes(): number {
-    return this.#waitingBytes;
+  /** Length of the lines that the reader has not taken yet. */
+  get pendingBytes(): number {
+    return this.#pendingBytes;
   }
 
-  /** Waits until all is taken, or for as long as is given, milliseconds. */
-  async flush(milliseconds: number): Promise<void> {
-    const until = performance.now() + milliseconds;
-    while (this.#isWriting && performance.now() < until) {
+  /** Waits until all lines are written, at most `maxMilliseconds`. */
+  async flush(maxMilliseconds: number): Promise<void> {
+    const deadline = performance.now() + maxMilliseconds;
+    while (this.#isWriting && performance.now() < deadline) {
       await new Promise((resolve) =>
-        setTimeout(resolve, FLUSH_POLL_MILLISECONDS)
+        setTimeout(resolve, FLUSH_POLL_INTERVAL_MILLISECONDS)
       );
     }
   }
 
   write(line: string, importance: Importance): void {
-    const most = importance === "failure"
-      ? MOST_WAITING_BYTES
-      : USUAL_WAITING_BYTES;
-    if (this.#waitingBytes + line.length > most) {
-      this.#dropped[importance] += 1;
+    const maxBytes = importance === "failure"
+      ? MAX_PENDING_BYTES
+      : MAX_PENDING_BYTES_FOR_USUAL;
+    if (this.#pendingBytes + line.length > maxBytes) {
+      this.#droppedLines[importance] += 1;
       return;
     }
-    this.#waiting.push(line);
-    this.#waitingBytes += line.length;
-    this.#writeSoon();
+    this.#pendingLines.push(line);
+    this.#pendingBytes += line.length;
+    this.#scheduleWrite();
   }
 
-  #writeSoon(): void {
+  #scheduleWrite(): void {
     if (this.#isWriting) return;
     this.#isWriting = true;
-    setImmediate(() => this.#writeWaiting());
+    setImmediate(() => this.#writePending());
   }
 
-  #writeWaiting(): void {
-    const bytes = Buffer.from(this.#waiting.join("") + this.#takeDropped());
-    this.#waiting = [];
+  #writePending(): void {
+    const bytes = Buffer.from(
+      this.#pendingLines.join("") + this.#takeDroppedNotice(),
+    );
+    this.#pendingLines = [];
     this.#writeFrom(bytes, 0);
   }
 
-  #writeFrom(bytes: Buffer, from: number): void {
-    write(this.#descriptor, bytes, from, (error, written) => {
+  #writeFrom(bytes: Buffer, offset: number): void {
+    write(this.#descriptor, bytes, offset, (error, written) => {
       if (error !== null && error.code !== "EAGAIN") {
-        // Nobody reads any more; there is nowhere to say so.
+        // The reader is gone, and there is nowhere to log that.
         this.#finish();
         return;
       }
-      const at = from + (error === null ? written : 0);
+      const at = offset + (error === null ? written : 0);
       if (at >= bytes.length) return this.#finish();
-      const again = () => this.#writeFrom(bytes, at);
-      if (error === null) again();
-      else setTimeout(again, RETRY_MILLISECONDS).unref();
+      const resume = () => this.#writeFrom(bytes, at);
+      if (error === null) resume();
+      else setTimeout(resume, RETRY_DELAY_MILLISECONDS).unref();
     });
   }
 
   #finish(): void {
-    this.#waitingBytes = this.#waiting.reduce(
+    this.#pendingBytes = this.#pendingLines.reduce(
       (sum, line) => sum + line.length,
       0,
     );
     this.#isWriting = false;
-    if (this.#waiting.length > 0) this.#writeSoon();
+    if (this.#pendingLines.length > 0) this.#scheduleWrite();
   }
 
-  #takeDropped(): string {
-    const { usual, failure } = this.#dropped;
+  #takeDroppedNotice(): string {
+    const { usual, failure } = this.#droppedLines;
     if (usual + failure === 0) return "";
-    this.#dropped = { usual: 0, failure: 0 };
+    this.#droppedLines = { usual: 0, failure: 0 };
     return `event=lines-dropped usual=${usual} failure=${failure}\n`;
   }
 }
--- a/packages/daemon/src/log/line_writer_test.ts
+++ b/packages/daemon/src/log/line_writer_test.ts
@@ -17,10 +17,10 @@
 const LINE = `${"x".repeat(1_000)}\n`;
 const LINES = 2_000;
 
-test("a pipe that nobody reads stops nothing and holds no memory", async () => {
-  // Story: the collector of logs hangs. Its pipe fills up; the process goes
-  // on at its pace, keeps a bounded part, and says what was dropped once the
-  // collector reads again.
+test("a pipe that nobody reads neither blocks nor takes unbounded memory", async () => {
+  // The log collector hangs and its pipe fills up. The process must not block,
+  // must buffer only a bounded part of the lines, and must report how many were
+  // dropped once the collector reads again.
   const folder = mkdtempSync(join(tmpdir(), "teaselrouter-log-"));
   const path = join(folder, "pipe");
   execFileSync("mkfifo", [path]);
@@ -28,7 +28,7 @@
   const writer = new LineWriter(descriptor);
   for (let line = 0; line < LINES; line += 1) writer.write(LINE, "usual");
   writer.write("event=failed\n", "failure");
-  assert.ok(writer.waitingBytes < 300_000, `${writer.waitingBytes}`);
+  assert.ok(writer.pendingBytes < 300_000, `${writer.pendingBytes}`);
   const buffer = Buffer.alloc(65_536);
   let text = "";
   while (!text.includes("lines-dropped") || !text.includes("event=failed")) {
