--- a/packages/daemon/src/cli/run_daemon.ts
+++ b/packages/daemon/src/cli/run_daemon.ts
@@ -7,11 +7,14 @@
 import { startDaemon } from "../wiring/start_daemon.ts";
 
 const EXIT_FAILED = 1;
-const EXIT_SETTINGS = 2;
+const EXIT_INVALID_SETTINGS = 2;
 
-type Words = { settings?: string; check?: boolean };
+type CliOptions = { settings?: string; check?: boolean };
 
-/** The daemon's command line; `platform` where it runs on one. */
+/**
+ * Runs the daemon's command line. `platform` is the adapter for the platform
+ * that the daemon runs on, if on one.
+ */
 export function runDaemon(platform?: PlatformEdge): void {
   sade("teaselrouterd", true)
     .version("0.1.0")
@@ -19,26 +22,26 @@
     .option("--settings", "TOML settings file")
     .option("--check", "Only check the settings; exits 0 or 2")
     .example("--settings /etc/teaselrouter/entry.toml")
-    .action((words: Words) => run(words, platform))
+    .action((cliOptions: CliOptions) => run(cliOptions, platform))
     .parse(process.argv, {
       unknown: (option) => {
         process.stderr.write(`unknown option ${option}; see --help\n`);
-        process.exit(EXIT_SETTINGS);
+        process.exit(EXIT_INVALID_SETTINGS);
       },
     });
 }
 
-async function run(words: Words, platform: PlatformEdge | undefined) {
-  if (words.settings === undefined) {
+async function run(cliOptions: CliOptions, platform: PlatformEdge | undefined) {
+  if (cliOptions.settings === undefined) {
     process.stderr.write("--settings FILE is needed\n");
-    process.exit(EXIT_SETTINGS);
+    process.exit(EXIT_INVALID_SETTINGS);
   }
-  const settings = await loadSettings(words.settings);
+  const settings = await loadSettings(cliOptions.settings);
   if (settings.isErr) {
     for (const line of settings.error) process.stderr.write(`${line}\n`);
-    process.exit(EXIT_SETTINGS);
+    process.exit(EXIT_INVALID_SETTINGS);
   }
-  if (words.check) return;
+  if (cliOptions.check) return;
   const daemon = await startDaemon({
     settings: settings.value,
     platform,
@@ -51,10 +54,10 @@
     process.stderr.write(`${daemon.error}\n`);
     process.exit(EXIT_FAILED);
   }
-  const path = words.settings;
-  const takeOn = () => reload(path, daemon.value);
-  process.on("SIGHUP", takeOn);
-  const watch = new SettingsWatch({ path, changed: takeOn });
+  const path = cliOptions.settings;
+  const reloadSettings = () => reload(path, daemon.value);
+  process.on("SIGHUP", reloadSettings);
+  const watch = new SettingsWatch({ path, onChange: reloadSettings });
   await watch.start();
   const stop = () => {
     daemon.value.stop().then(() => process.exit(0));
@@ -63,7 +66,7 @@
   process.once("SIGINT", stop);
 }
 
-/** Faulty settings change nothing: the process goes on with what it has. */
+/** Reloads the settings. Invalid settings are logged and change nothing. */
 async function reload(path: string, daemon: Daemon): Promise<void> {
   const settings = await loadSettings(path);
   daemon.reload(settings);
--- a/packages/daemon/src/settings/address_schema.ts
+++ b/packages/daemon/src/settings/address_schema.ts
@@ -7,7 +7,7 @@
   return port >= 1 && port <= 65_535;
 }
 
-/** Where a process listens or is reached: host:port. */
+/** Address on which a process listens or is reached, as host:port. */
 export const addressSchema = z.string().refine(hasPort, {
   message: "must be host:port with a port from 1 to 65535",
 });
--- a/packages/daemon/src/settings/load_settings.ts
+++ b/packages/daemon/src/settings/load_settings.ts
@@ -4,7 +4,10 @@
 import { parseSettings } from "./parse_settings.ts";
 import type { Settings } from "./settings.ts";
 
-/** A voter's data folder, or the folder to make it in, has to be there. */
+/**
+ * Checks that the parent of a control host's data folder exists; the folder
+ * itself is created if it is missing.
+ */
 async function checkDataFolder(settings: Settings): Promise<string[]> {
   if (!settings.roles.includes("control")) return [];
   const folder = settings.control!.data_folder;
--- a/packages/daemon/src/settings/load_settings_test.ts
+++ b/packages/daemon/src/settings/load_settings_test.ts
@@ -5,7 +5,7 @@
 import { test } from "node:test";
 import { loadSettings } from "./load_settings.ts";
 
-function settingsWith(dataFolder: string): string {
+function formatSettings(dataFolder: string): string {
   return `
 name = "van-1"
 data_centre = "van"
@@ -18,12 +18,12 @@
 `;
 }
 
-test("a voter without a place for its data folder is refused", async () => {
+test("a control host whose data folder has no parent folder is refused", async () => {
   const folder = mkdtempSync(join(tmpdir(), "teaselrouter-settings-"));
   const path = join(folder, "settings.toml");
-  writeFileSync(path, settingsWith(join(folder, "data")));
+  writeFileSync(path, formatSettings(join(folder, "data")));
   assert.ok((await loadSettings(path)).isOk);
-  writeFileSync(path, settingsWith("/nowhere/at/all"));
+  writeFileSync(path, formatSettings("/nowhere/at/all"));
   const refused = await loadSettings(path);
   assert.ok(refused.isErr);
   assert.deepEqual(refused.error, [
@@ -33,7 +33,7 @@
   rmSync(folder, { recursive: true });
 });
 
-test("a file that can't be read is named", async () => {
+test("an unreadable settings file is named in the error", async () => {
   const settings = await loadSettings("/nowhere/settings.toml");
   assert.ok(settings.isErr);
   assert.deepEqual(settings.error, ["/nowhere/settings.toml: can't be read"]);
--- a/packages/daemon/src/settings/settings_schema.ts
+++ b/packages/daemon/src/settings/settings_schema.ts
@@ -7,105 +7,126 @@
 
 const bytesPerSecond = z.number().int().min(0);
 
-/** Everything that a settings file may say. */
+/** Schema of a settings file. */
 export const settingsSchema = z.strictObject({
-  /** This process's name, unlike any other's. */
+  /** Name of this process, unique in the system. */
   name,
   data_centre: name,
   roles: z.array(z.enum(["control", "entry", "agent", "gateway", "stager"]))
     .min(1),
-  /** Where other processes of the system reach this one. */
+  /** Connections between this process and others of the system. */
   internal: z.strictObject({
+    /** Where other processes reach this one. */
     listen: addressSchema,
-    /** Other addresses to dial, by the address that a process listens on. */
+    /**
+     * Addresses to dial instead, such as port forwards, by the address that the
+     * other process listens on.
+     */
     dial: z.record(z.string(), addressSchema).default({}),
     /**
-     * Port that other processes listen on, where the lists of addresses here
-     * name those hosts by another of their ports.
+     * Port that other processes listen on, for settings that list these hosts
+     * with another of their ports. It replaces the port in the addresses of
+     * `control.founders`, `gateway.control_hosts` and `stager.control_hosts`.
      */
     peer_port: z.number().int().min(1).max(65_535).optional(),
   }),
   log: z.strictObject({
     level: z.enum(["debug", "info", "warn", "error"]).default("info"),
   }).prefault({}),
-  /** Off unless set. */
+  /** Metrics are exported only if set. */
   metrics: z.strictObject({
-    /** Where counters are sent; for deployments that collect them so. */
+    /** StatsD server for counters and timings, for deployments that use one. */
     statsd: addressSchema.optional(),
     prefix: z.string().max(64).default("teaselrouter."),
-    /** Where counters and histograms are served as text. */
+    /** Address that serves counters and histograms as text. */
     listen: addressSchema.optional(),
   }).optional(),
   control: z.strictObject({
     data_folder: z.string().min(1),
     /**
-     * The first voters. With `tolerated_losses` set this one need not be among
-     * them: it then asks them to be taken in.
+     * The first voters. With `tolerated_losses` set, this control host need not
+     * be among them: it then asks them to be added as a member.
      */
     founders: z.array(
       z.strictObject({ name: name.optional(), address: addressSchema }),
     ).min(1),
-    /** Whether an empty data folder may found the log. */
+    /**
+     * Whether a founder with an empty data folder may bootstrap the cluster.
+     * Only used if `tolerated_losses` is set.
+     */
     may_found: z.boolean().default(true),
     /**
-     * Hosts whose loss at the same time is to be borne. Members are then taken
-     * in and replaced without operators, to two voters for each and one more.
+     * Number of control hosts that may be lost at the same time. If it is set,
+     * members are added and replaced without operators, up to twice this number
+     * plus one voters.
      */
     tolerated_losses: z.number().int().min(0).max(4).optional(),
-    /** Where the platform's operators and backend servers call. */
+    /** Address for calls from the platform's operators and backend servers. */
     operations_listen: addressSchema.optional(),
     election_milliseconds: z.number().int().min(50).max(60_000).default(600),
     heartbeat_milliseconds: z.number().int().min(10).max(10_000).default(200),
     spread_weighing: z.enum(["time", "origin-bytes", "haste"]).default("time"),
-    /** A snapshot is taken when the log has grown by so much. */
+    /** Size of a log segment at which a snapshot is taken. */
     snapshot_bytes: z.number().int().min(4_096).default(16_777_216),
   }).optional(),
   entry: z.strictObject({
     listen: addressSchema,
     control_hosts: z.array(addressSchema).min(1),
     spread_weighing: z.enum(["time", "origin-bytes", "haste"]).default("time"),
-    /** Between `/ready` turning 503 and the end of listening. */
+    /** Time from `/ready` answering 503 until the process stops listening. */
     drain_milliseconds: z.number().int().min(0).default(2_000),
-    /** Longest silence of a caller in the middle of its request. */
+    /** Maximum time without data from a caller within its request. */
     request_idle_milliseconds: z.number().int().min(100).default(10_000),
-    /** One way to another data centre. */
+    /** One-way latency to another data centre. */
     crossing_milliseconds: z.number().min(0).default(2),
   }).optional(),
   agent: z.strictObject({
-    /** Where the backend server announces itself and agents fetch chunks. */
+    /**
+     * Address on which the backend server announces itself and other agents
+     * fetch chunks.
+     */
     listen: addressSchema,
     entry_hosts: z.array(addressSchema).min(1),
-    /** Of this host's link; 0 is not limited. */
+    /** Rate of this host's link; 0 for no limit. */
     link_bytes_per_second: bytesPerSecond.default(0),
     /** Sent to each other data centre: the link's rate by their number. */
     region_bytes_per_second: bytesPerSecond.default(0),
-    /** Between announcing the stop and ending. */
+    /** Minimum time between announcing the stop and ending. */
     drain_milliseconds: z.number().int().min(0).default(2_000),
   }).optional(),
-  /** Takes a platform's requests to backend servers directly. */
+  /** Sends a platform's requests directly to backend servers. */
   gateway: z.strictObject({
     listen: addressSchema,
-    /** Where the balancer asks whether to send new connections. */
+    /** Address of the load balancer's readiness check. */
     ready_listen: addressSchema,
     control_hosts: z.array(addressSchema).min(1),
-    /** A planned stop ends within it: time until the process is killed. */
+    /**
+     * Time from the start of a planned stop until the process is killed. The
+     * stop ends within it.
+     */
     grace_milliseconds: z.number().int().min(1_000).default(8_000),
-    /** After it is named no request may begin on older weights. */
+    /**
+     * Time after the naming of a version from which no request may start on
+     * older weights.
+     */
     weights_bound_milliseconds: z.number().int().min(0).default(8_000),
-    /** Extra sends for each request, over all hosts together. */
+    /** Maximum retries per request, over the requests of all hosts together. */
     retry_ratio: z.number().min(0).max(1).default(0.1),
   }).optional(),
-  /** Brings weights to the model engine beside it. */
+  /** Loads weights into the model engine on the same host. */
   stager: z.strictObject({
-    /** Where requests go to the engine; orders too. */
+    /** Address on which the engine takes requests and load orders. */
     engine: addressSchema,
     service: z.string().min(1),
-    /** Where other stagers fetch chunks. */
+    /** Address on which other stagers fetch chunks. */
     listen: addressSchema,
     control_hosts: z.array(addressSchema).min(1),
-    /** After it is named no request may begin on older weights. */
+    /**
+     * Time after the naming of a version from which no request may start on
+     * older weights.
+     */
     weights_bound_milliseconds: z.number().int().min(0).default(8_000),
-    /** Of this host's link, each way; 0 is not limited. */
+    /** Rate of this host's link in each direction; 0 for no limit. */
     link_megabits_per_second: z.number().min(0).default(0),
   }).optional(),
 }).superRefine((settings, context) => {
--- a/packages/daemon/src/settings/settings_watch.ts
+++ b/packages/daemon/src/settings/settings_watch.ts
@@ -1,20 +1,20 @@
 import { readFile } from "node:fs/promises";
 
 /**
- * How often the file is read: a platform may replace it without a signal, and
- * a process that keeps to control hosts that are gone is cut off with its
- * last one. One small read every two seconds costs nothing measurable.
+ * How often the file is read. A platform may replace it without a signal, and a
+ * process that knows only the old control hosts is cut off when the last of
+ * them is gone. One small read every two seconds has no measurable cost.
  */
-const READ_MILLISECONDS = 2_000;
+const POLL_INTERVAL_MILLISECONDS = 2_000;
 
 type Options = {
   path: string;
-  /** Called when the content is another than the last that was read. */
-  changed: () => Promise<void>;
-  readMilliseconds?: number;
+  /** Called when the content differs from that of the last read. */
+  onChange: () => Promise<void>;
+  pollIntervalMilliseconds?: number;
 };
 
-/** Notices that a settings file has changed, also where no signal says so. */
+/** Detects changes of a settings file that no signal announces. */
 export class SettingsWatch {
   #options: Options;
   #content: string | undefined;
@@ -24,28 +24,33 @@
     this.#options = options;
   }
 
-  /** The content that stands at the start is no change. */
+  /** Starts polling. The content at the start does not count as a change. */
   async start(): Promise<void> {
     this.#content = await this.#read();
-    const { readMilliseconds = READ_MILLISECONDS } = this.#options;
-    this.#timer = setInterval(() => this.check(), readMilliseconds);
+    const { pollIntervalMilliseconds = POLL_INTERVAL_MILLISECONDS } =
+      this.#options;
+    this.#timer = setInterval(
+      () => this.checkForChange(),
+      pollIntervalMilliseconds,
+    );
   }
 
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** Reads the file now. */
-  async check(): Promise<void> {
+  /** Reads the file now, and calls `onChange` if its content has changed. */
+  async checkForChange(): Promise<void> {
     const content = await this.#read();
     if (content === this.#content) return;
     this.#content = content;
-    await this.#options.changed();
+    await this.#options.onChange();
   }
 
   /**
-   * Undefined where it can't be read, as while it is being replaced: that is a
-   * change too, and whoever loads the settings then says why it can't.
+   * Returns undefined if the file can't be read, for example while it is being
+   * replaced. That counts as a change too: loading the settings then reports
+   * why the file can't be read.
    */
   #read(): Promise<string | undefined> {
     return readFile(this.#options.path, "utf8").catch(() => undefined);
--- a/packages/daemon/src/settings/settings_watch_test.ts
+++ b/packages/daemon/src/settings/settings_watch_test.ts
@@ -5,30 +5,30 @@
 import { test } from "node:test";
 import { SettingsWatch } from "./settings_watch.ts";
 
-// All control hosts that a gateway was told of are replaced by others. The
-// platform writes the new ones into its settings file and sends no signal: the
-// gateway, which read the file only at its start and on SIGHUP, asks for hosts
+// All control hosts that a gateway knows are replaced by others. The platform
+// writes the new ones into the gateway's settings file and sends no signal. A
+// gateway that read the file only at its start and on SIGHUP would try hosts
 // that are gone until it is restarted.
-test("a file that changes without a signal is noticed", async () => {
+test("a file that changes without a signal is detected", async () => {
   const folder = mkdtempSync(join(tmpdir(), "teaselrouter-watch-"));
   const path = join(folder, "settings.toml");
   writeFileSync(path, 'control_hosts = ["10.0.0.1:8000"]');
   let changes = 0;
-  let noteChange = () => {};
+  let resolveNoticed = () => {};
   const watch = new SettingsWatch({
     path,
-    changed: () => {
+    onChange: () => {
       changes += 1;
-      noteChange();
+      resolveNoticed();
       return Promise.resolve();
     },
-    readMilliseconds: 5,
+    pollIntervalMilliseconds: 5,
   });
   await watch.start();
-  await watch.check();
-  assert.equal(changes, 0, "what stood at the start is no change");
+  await watch.checkForChange();
+  assert.equal(changes, 0, "the content at the start is no change");
 
-  const noticed = new Promise<void>((resolve) => noteChange = resolve);
+  const noticed = new Promise<void>((resolve) => resolveNoticed = resolve);
   const next = join(folder, "next.toml");
   writeFileSync(next, 'control_hosts = ["10.0.0.2:8000"]');
   renameSync(next, path);
@@ -37,9 +37,9 @@
   assert.equal(changes, 1);
 
   rmSync(path);
-  await watch.check();
-  assert.equal(changes, 2, "a file that is gone is said so once");
-  await watch.check();
+  await watch.checkForChange();
+  assert.equal(changes, 2, "a missing file is one change");
+  await watch.checkForChange();
   assert.equal(changes, 2);
   rmSync(folder, { recursive: true });
 });
--- a/packages/daemon/src/wiring/daemon.ts
+++ b/packages/daemon/src/wiring/daemon.ts
@@ -3,8 +3,14 @@
 
 /** A running daemon process. */
 export type Daemon = {
-  /** Takes on what can change while it runs; faults are only logged. */
+  /**
+   * Applies the settings that can change at runtime; invalid settings are only
+   * logged.
+   */
   reload: (settings: Result<Settings, string[]>) => void;
-  /** A planned stop: cuts off nothing, then ends. */
+  /**
+   * Stops as planned. Resolves after the calls in progress have ended; a
+   * gateway waits for them no longer than its grace time.
+   */
   stop: () => Promise<void>;
 };
--- a/packages/daemon/src/wiring/start_daemon.ts
+++ b/packages/daemon/src/wiring/start_daemon.ts
@@ -18,22 +18,22 @@
 
 type Options = {
   settings: Settings;
-  /** How the platform speaks that this process runs on, if on one. */
+  /** Adapter for the platform that this process runs on, if on one. */
   platform?: PlatformEdge | undefined;
-  /** Called when a broken invariant leaves no safe way to go on. */
+  /** Called on a failure after which this process can't continue safely. */
   stopProcess: (reason: string) => void;
 };
 
-/** Wires one process's parts, and starts them; the error says what failed. */
+/** Creates and starts the roles of a process; the error says what failed. */
 export async function startDaemon(
   options: Options,
 ): Promise<Result<Daemon, string>> {
   const { settings, platform } = options;
-  const counted = new ProcessMetrics();
+  const processMetrics = new ProcessMetrics();
   const log = new EventLog(
     settings.name,
     settings.log.level,
-    (event) => counted.events.inc({ event }),
+    (event) => processMetrics.events.inc({ event }),
   );
   const metrics = createMetrics(settings);
   const clients = new ClientPool(settings.internal.dial);
@@ -41,25 +41,31 @@
     log.error("process-stops", { reason });
     options.stopProcess(reason);
   };
-  const has = (role: Settings["roles"][number]) =>
+  const hasRole = (role: Settings["roles"][number]) =>
     settings.roles.includes(role);
 
-  const opened = has("control")
+  const openedControl = hasRole("control")
     ? await ControlApp.open({ settings, clients, log, stopProcess, platform })
     : undefined;
-  if (opened?.isErr) return Result.err(opened.error);
-  const control = opened?.value;
-  const parts = { settings, clients, log, metrics };
-  const entry = has("entry") ? new EntryApp(parts) : undefined;
-  const agent = has("agent") ? new AgentApp(parts) : undefined;
-  if (platform === undefined && (has("gateway") || has("stager"))) {
-    return Result.err("roles: gateway and stager need a platform's build");
+  if (openedControl?.isErr) return Result.err(openedControl.error);
+  const control = openedControl?.value;
+  const appOptions = { settings, clients, log, metrics };
+  const entry = hasRole("entry") ? new EntryApp(appOptions) : undefined;
+  const agent = hasRole("agent") ? new AgentApp(appOptions) : undefined;
+  if (platform === undefined && (hasRole("gateway") || hasRole("stager"))) {
+    return Result.err(
+      "roles: gateway and stager need a build with a platform adapter",
+    );
   }
-  const gateway = has("gateway")
-    ? new GatewayApp({ ...parts, counted, platform: platform! })
+  const gateway = hasRole("gateway")
+    ? new GatewayApp({
+      ...appOptions,
+      counted: processMetrics,
+      platform: platform!,
+    })
     : undefined;
-  const stager = has("stager")
-    ? new StagerApp({ ...parts, platform: platform! })
+  const stager = hasRole("stager")
+    ? new StagerApp({ ...appOptions, platform: platform! })
     : undefined;
 
   const routes = (router: ConnectRouter) => {
@@ -77,11 +83,11 @@
   const listening = await server.listen(settings.internal.listen);
   if (listening.isErr) return Result.err(listening.error);
 
-  const metricsServer = new MetricsServer(counted);
+  const metricsServer = new MetricsServer(processMetrics);
   const metricsAddress = settings.metrics?.listen;
   if (metricsAddress !== undefined) {
-    const served = await metricsServer.listen(metricsAddress);
-    if (served.isErr) return Result.err(served.error);
+    const metricsListening = await metricsServer.listen(metricsAddress);
+    if (metricsListening.isErr) return Result.err(metricsListening.error);
   }
   for (const app of [control, entry, agent, gateway, stager]) {
     const started = await app?.start();
