--- a/packages/daemon/src/http/describe_issue.ts
+++ b/packages/daemon/src/http/describe_issue.ts
@@ -1,6 +1,6 @@
 import type * as z from "zod";
 
-/** Names the first fault that a schema found: which field, and why. */
+/** Describes the first issue that a schema reports: its field and reason. */
 export function describeIssue(
   error: z.ZodError,
 ): { field: string; detail: string } {
--- a/packages/daemon/src/http/problem.ts
+++ b/packages/daemon/src/http/problem.ts
@@ -1,16 +1,19 @@
-/** What became of a call that got no whole answer. */
+/** Whether a call that got no complete answer has run. */
 type Outcome = "not-run" | "ran" | "unknown";
 
-/** A failure as callers see it, application/problem+json. */
+/** A failure as sent to callers, in application/problem+json. */
 export type Problem = {
   status: number;
-  /** Names the kind of failure; stable. */
+  /** Stable name for the kind of failure. */
   type: string;
   detail: string;
-  /** Header or field that is at fault. */
+  /** Header or body field that caused the failure. */
   field?: string;
   outcome: Outcome;
-  /** The log itself says so, whatever other entry hosts did. */
+  /**
+   * Whether `outcome` comes from the replicated log, so that it holds whatever
+   * other entry hosts did.
+   */
   consultedLog?: boolean;
   retryAfterMilliseconds?: number;
 };
--- a/packages/daemon/src/http/read_body.ts
+++ b/packages/daemon/src/http/read_body.ts
@@ -5,7 +5,7 @@
 
 type Limits = { maximumBytes: number; idleMilliseconds: number };
 
-function tooLarge(limits: Limits): Problem {
+function bodyTooLarge(limits: Limits): Problem {
   return {
     status: 413,
     type: "body-too-large",
@@ -15,7 +15,7 @@
   };
 }
 
-const SILENT: Problem = {
+const INCOMPLETE_REQUEST: Problem = {
   status: 408,
   type: "request-incomplete",
   field: "body",
@@ -23,7 +23,10 @@
   outcome: "not-run",
 };
 
-/** Reads a request's body whole, within size and silence limits. */
+/**
+ * Reads a whole request body. Fails if the body is larger than the limit, if
+ * the client sends nothing for the idle time, or if the connection ends early.
+ */
 export function readBody(
   request: IncomingMessage,
   limits: Limits,
@@ -31,26 +34,26 @@
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
     let bytes = 0;
-    const settle = (result: Result<Buffer, Problem>) => {
+    const finish = (result: Result<Buffer, Problem>) => {
       clearTimeout(timer);
-      request.off("data", take);
+      request.off("data", addPart);
       request.resume();
       resolve(result);
     };
-    const silent = () => settle(Result.err(SILENT));
-    let timer = setTimeout(silent, limits.idleMilliseconds);
-    const take = (part: Buffer) => {
+    const failIncomplete = () => finish(Result.err(INCOMPLETE_REQUEST));
+    let timer = setTimeout(failIncomplete, limits.idleMilliseconds);
+    const addPart = (part: Buffer) => {
       bytes += part.length;
       if (bytes > limits.maximumBytes) {
-        return settle(Result.err(tooLarge(limits)));
+        return finish(Result.err(bodyTooLarge(limits)));
       }
       parts.push(part);
       clearTimeout(timer);
-      timer = setTimeout(silent, limits.idleMilliseconds);
+      timer = setTimeout(failIncomplete, limits.idleMilliseconds);
     };
-    request.on("data", take);
-    request.once("end", () => settle(Result.ok(Buffer.concat(parts))));
-    request.once("error", silent);
-    request.once("close", silent);
+    request.on("data", addPart);
+    request.once("end", () => finish(Result.ok(Buffer.concat(parts))));
+    request.once("error", failIncomplete);
+    request.once("close", failIncomplete);
   });
 }
--- a/packages/daemon/src/http/send_problem.ts
+++ b/packages/daemon/src/http/send_problem.ts
@@ -1,14 +1,18 @@
 import type { ServerResponse } from "node:http";
 import type { Problem } from "./problem.ts";
 
-/** Answers with a problem; after a begun answer, breaks the connection. */
+/**
+ * Responds with a problem. If the response has already started, closes the
+ * connection instead.
+ */
 export function sendProblem(response: ServerResponse, problem: Problem): void {
   if (response.headersSent) {
-    // A clean end would let the caller take a part for the whole.
+    // A normal end would make the partial response look complete.
     response.destroy();
     return;
   }
-  // A failed attempt may have set it; a problem comes from no weights.
+  // A failed attempt may have set this header, but no weights produced the
+  // problem.
   response.removeHeader("Teaselrouter-Weights");
   const { status, type, detail, field, outcome } = problem;
   const headers: Record<string, string> = {
--- a/packages/daemon/src/metrics/create_metrics.ts
+++ b/packages/daemon/src/metrics/create_metrics.ts
@@ -1,7 +1,10 @@
 import { StatsD } from "hot-shots";
 import type { Settings } from "../settings/settings.ts";
 
-/** The process's metrics; without settings they go nowhere. */
+/**
+ * Creates the StatsD client for the process's metrics. Without a StatsD server
+ * in the settings it sends nothing.
+ */
 export function createMetrics(settings: Settings): StatsD {
   const tags = { process: settings.name, data_centre: settings.data_centre };
   if (settings.metrics?.statsd === undefined) {
--- a/packages/daemon/src/metrics/metrics_server.ts
+++ b/packages/daemon/src/metrics/metrics_server.ts
@@ -3,16 +3,16 @@
 import { listen } from "../transport/listen.ts";
 import type { ProcessMetrics } from "./process_metrics.ts";
 
-const PATH = "/metrics";
+const METRICS_PATH = "/metrics";
 
-/** Serves a process's metrics as text. */
+/** Serves a process's metrics as text at `/metrics`. */
 export class MetricsServer {
   #server: Server;
 
   constructor(metrics: ProcessMetrics) {
     const { registry } = metrics;
     this.#server = createServer(async (request, response) => {
-      if (request.url?.split("?")[0] !== PATH) {
+      if (request.url?.split("?")[0] !== METRICS_PATH) {
         return void response.writeHead(404).end();
       }
       const text = await registry.metrics();
--- a/packages/daemon/src/metrics/process_metrics.ts
+++ b/packages/daemon/src/metrics/process_metrics.ts
@@ -1,10 +1,11 @@
 import { Counter, Histogram, Registry } from "prom-client";
 
 /**
- * From a fast plain answer to the longest stream: doubling steps, so that a
- * target of some hundred milliseconds falls between close bounds.
+ * From a fast plain answer to the longest stream. Each bound is at most twice
+ * the one before, so that a target of some hundred milliseconds falls between
+ * close bounds.
  */
-const MILLISECOND_BOUNDS = [
+const MILLISECOND_BUCKETS = [
   25,
   50,
   100,
@@ -18,8 +19,8 @@
   8_000,
 ];
 
-/** Early is below 0: how far first events come from what was expected. */
-const ERROR_BOUNDS = [
+/** Difference from the expected time of a first event; negative when early. */
+const FORECAST_ERROR_BUCKETS = [
   -400,
   -200,
   -100,
@@ -33,19 +34,22 @@
   3_000,
 ];
 
-type RequestLabels = "kind" | "outcome";
+type RequestLabel = "kind" | "outcome";
 
-/** A process's counters and histograms; no label grows with requests. */
+/**
+ * A process's counters and histograms. The number of label values does not grow
+ * with the number of requests.
+ */
 export class ProcessMetrics {
   readonly registry = new Registry();
-  /** Events by the names of the log's vocabulary. */
+  /** Log events by name. */
   readonly events: Counter<"event">;
-  /** Requests by kind and by how they ended. */
-  readonly requests: Counter<RequestLabels>;
+  /** Requests by kind of route and by outcome. */
+  readonly requests: Counter<RequestLabel>;
   readonly requestMilliseconds: Histogram<"kind">;
-  /** Until the head of an answer was passed on. */
+  /** From the head of a request until the head of its answer is forwarded. */
   readonly headMilliseconds: Histogram<"kind">;
-  /** First event of a stream: when it came less when it was expected. */
+  /** Time of a stream's first event minus its expected time. */
   readonly forecastErrorMilliseconds: Histogram<"placement">;
 
   constructor() {
@@ -66,21 +70,21 @@
       name: "teaselrouter_request_milliseconds",
       help: "From the head of a request to the end of its answer",
       labelNames: ["kind"],
-      buckets: MILLISECOND_BOUNDS,
+      buckets: MILLISECOND_BUCKETS,
       registers,
     });
     this.headMilliseconds = new Histogram({
       name: "teaselrouter_answer_head_milliseconds",
       help: "From the head of a request to the head of its answer",
       labelNames: ["kind"],
-      buckets: MILLISECOND_BOUNDS,
+      buckets: MILLISECOND_BUCKETS,
       registers,
     });
     this.forecastErrorMilliseconds = new Histogram({
       name: "teaselrouter_forecast_error_milliseconds",
       help: "When first events came, less when they were expected",
       labelNames: ["placement"],
-      buckets: ERROR_BOUNDS,
+      buckets: FORECAST_ERROR_BUCKETS,
       registers,
     });
   }
--- a/packages/daemon/src/platform/closable.ts
+++ b/packages/daemon/src/platform/closable.ts
@@ -1,4 +1,4 @@
-/** Something that was opened and has to be closed. */
+/** An open resource that has to be closed. */
 export interface Closable {
   close(): void;
 }
--- a/packages/daemon/src/platform/engine_report.ts
+++ b/packages/daemon/src/platform/engine_report.ts
@@ -1,12 +1,12 @@
-/** What an engine says of itself to its own host; fresh. */
+/** Current state of a model engine, read from it on its own host. */
 export type EngineReport = {
   models: { name: string; version: number }[];
-  /** An order is being carried out. */
+  /** Whether the engine is carrying out an order. */
   isBusy: boolean;
-  /** Orders accepted since its start. */
+  /** Number of orders accepted since the engine started. */
   sequence: number;
   running: number;
   waiting: number;
-  /** Unix milliseconds of its start; 0 when it does not say. */
+  /** When the engine started, Unix milliseconds; 0 if it does not say. */
   bornAt: number;
 };
--- a/packages/daemon/src/platform/model_engine.ts
+++ b/packages/daemon/src/platform/model_engine.ts
@@ -2,12 +2,12 @@
 import type { Result } from "true-myth";
 import type { EngineReport } from "./engine_report.ts";
 
-type LoadAnswer = "begun" | "in-effect" | "refused";
+type LoadOutcome = "begun" | "in-effect" | "refused";
 
-/** The engine on this host, which loads what lies staged beside it. */
+/** The model engine on this host, which loads weights from its staging area. */
 export interface ModelEngine {
   report(): Promise<Result<EngineReport, string>>;
-  /** Numbers of the chunks that lie there, of whichever version. */
+  /** Numbers of the staged chunks, of whatever version they are. */
   stagedChunks(model: string): Promise<Result<number[], string>>;
   readStaged(model: string, chunk: number): Promise<Result<Buffer, string>>;
   writeStaged(
@@ -15,8 +15,12 @@
     chunk: number,
     bytes: Buffer,
   ): Promise<Result<void, string>>;
-  /** Takes what lies staged at this moment, behind what is running. */
+  /**
+   * Orders the engine to load the weights that are staged at this moment. The
+   * load is queued behind the requests that are running. `sequence` is that of
+   * the engine's latest report.
+   */
   load(
     order: { model: string; version: number; sequence: number },
-  ): Promise<Result<LoadAnswer, string>>;
+  ): Promise<Result<LoadOutcome, string>>;
 }
--- a/packages/daemon/src/platform/platform_edge.ts
+++ b/packages/daemon/src/platform/platform_edge.ts
@@ -8,19 +8,22 @@
 import type { WeightStoreFormat } from "./weight_store_format.ts";
 
 /**
- * How a platform speaks: names, formats and calls. It decides nothing; what
- * is behind these calls is the system's.
+ * Adapter for a platform: its names, formats and calls. It makes no decisions;
+ * the code that uses it does.
  */
 export interface PlatformEdge {
   decodeRouting: RoutingDecoder;
   requestFormat: RequestFormat;
-  /** Path on which the balancer asks whether a host takes connections. */
+  /** Path of the load balancer's readiness check. */
   readyPath: string;
   weightStore: WeightStore;
   storeFormat: WeightStoreFormat;
-  /** The engine that takes requests at `address`, from its own host. */
+  /**
+   * Returns a client for the model engine on this host, which takes requests at
+   * `address`.
+   */
   openEngine(address: string): ModelEngine;
-  /** Serves operators and backend servers on a control host. */
+  /** Starts a control host's server for operators and backend servers. */
   serveOperations(
     address: string,
     operations: ControlOperations,
--- a/packages/daemon/src/platform/weight_store.ts
+++ b/packages/daemon/src/platform/weight_store.ts
@@ -1,14 +1,14 @@
 import type { WeightsManifest } from "@teaselrouter/core/spread/weights_manifest.ts";
 import type { Result } from "true-myth";
 
-/** Where versions of weights come from. */
+/** The store from which versions of weights are fetched. */
 export interface WeightStore {
-  /** May come spoilt: it counts only once it was read alike twice. */
+  /** The result may be corrupt: use it only after two identical reads. */
   fetchManifest(
     address: string,
     model: string,
     version: number,
   ): Promise<Result<WeightsManifest, string>>;
-  /** The URL that chunks are asked under. */
+  /** Base URL for the chunks of the store at `address`. */
   urlOf(address: string): string;
 }
--- a/packages/daemon/src/platform/weight_store_format.ts
+++ b/packages/daemon/src/platform/weight_store_format.ts
@@ -1,6 +1,6 @@
 import type { WeightsManifest } from "@teaselrouter/core/spread/weights_manifest.ts";
 
-/** How chunks are asked from a store of weights. */
+/** Builds the requests that fetch chunks from a weight store. */
 export interface WeightStoreFormat {
   chunkRequest(
     store: string,
