--- a/packages/operator/src/client/call_failure.ts
+++ b/packages/operator/src/client/call_failure.ts
@@ -1,7 +1,7 @@
-/** Why an entry host did not do what was asked. */
+/** Why a call to an entry host did not succeed. */
 export type CallFailure = {
   kind: "refused" | "usage" | "unknown";
   message: string;
-  /** What stands instead, where something does. */
+  /** Current state that the refused change would have replaced, if any. */
   stands?: unknown;
 };
--- a/packages/operator/src/client/operator_client.ts
+++ b/packages/operator/src/client/operator_client.ts
@@ -1,29 +1,29 @@
 import { Result } from "true-myth";
 import type { CallFailure } from "./call_failure.ts";
 
-const CALL_MILLISECONDS = 15_000;
+const CALL_TIMEOUT_MILLISECONDS = 15_000;
 
 type Problem = { detail?: string; type?: string };
-type Change = {
+type ChangeRefusal = {
   accepted?: boolean;
   reason?: string;
   stands?: unknown;
 };
 
-/** Speaks to one entry host's operator paths. */
+/** HTTP client for the operator paths of one entry host. */
 export class OperatorClient {
-  #entry: string;
+  #entryUrl: string;
 
-  constructor(entry: string) {
-    this.#entry = entry.replace(/\/$/, "");
+  constructor(entryUrl: string) {
+    this.#entryUrl = entryUrl.replace(/\/$/, "");
   }
 
-  /** @returns the answer's JSON, or why there is none. */
+  /** @returns the parsed JSON response, or why the call failed. */
   get<Body>(path: string): Promise<Result<Body, CallFailure>> {
     return this.#call<Body>("GET", path);
   }
 
-  /** Sends a change; it is safe to send the same again. */
+  /** Sends a change. Changes are idempotent: the same one can be sent again. */
   put<Body>(path: string, body: unknown): Promise<Result<Body, CallFailure>> {
     return this.#call<Body>("PUT", path, body);
   }
@@ -36,37 +36,38 @@
     let answer: Response;
     let content: unknown;
     try {
-      answer = await fetch(`${this.#entry}/v1/operator/${path}`, {
+      answer = await fetch(`${this.#entryUrl}/v1/operator/${path}`, {
         method,
         headers: { "Content-Type": "application/json" },
         body: body === undefined ? undefined : JSON.stringify(body),
-        signal: AbortSignal.timeout(CALL_MILLISECONDS),
+        signal: AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS),
       });
       content = await answer.json();
     } catch (error) {
-      return Result.err(this.#transportFailure(error, method));
+      return Result.err(this.#toTransportFailure(error, method));
     }
     if (answer.ok) return Result.ok(content as Body);
-    return Result.err(failureOf(answer, content));
+    return Result.err(toCallFailure(answer, content));
   }
 
-  #transportFailure(error: unknown, method: string): CallFailure {
+  #toTransportFailure(error: unknown, method: string): CallFailure {
     const cause = (error as { cause?: { code?: string } }).cause;
-    const unreached = cause?.code === "ECONNREFUSED" ||
+    // A GET changes nothing, so its outcome is never unknown.
+    const hasNoEffect = cause?.code === "ECONNREFUSED" ||
       cause?.code === "ENOTFOUND" || method === "GET";
     return {
-      kind: unreached ? "refused" : "unknown",
-      message: unreached
-        ? `no entry host can be reached at ${this.#entry}`
+      kind: hasNoEffect ? "refused" : "unknown",
+      message: hasNoEffect
+        ? `no entry host can be reached at ${this.#entryUrl}`
         : "the answer was lost; send the same command again",
     };
   }
 }
 
-function failureOf(answer: Response, content: unknown): CallFailure {
+function toCallFailure(answer: Response, content: unknown): CallFailure {
   const outcome = answer.headers.get("teaselrouter-outcome");
   if (answer.status === 409) {
-    const { reason, stands } = content as Change;
+    const { reason, stands } = content as ChangeRefusal;
     return {
       kind: "refused",
       message: reason === "number-replaced"
--- a/packages/operator/src/commands/change_contract.ts
+++ b/packages/operator/src/commands/change_contract.ts
@@ -5,19 +5,22 @@
 import { describeDifference } from "../output/describe_difference.ts";
 import type { CommandResult } from "./command_result.ts";
 import type { ContractReply } from "./contract_reply.ts";
-import { failCommand } from "./fail_command.ts";
+import { createFailureResult } from "./create_failure_result.ts";
 
 type Change = {
   workspace: string;
   kind: "create" | "change" | "retire";
-  /** Fields to set; the rest stay as they are. */
+  /** Fields to set; the others keep their values. */
   fields: Record<string, unknown>;
-  /** Number that the change expects to replace; read when not given. */
+  /**
+   * Contract number that the change replaces; undefined to replace the number
+   * that the entry host currently reports.
+   */
   expected: number | undefined;
   dryRun: boolean;
 };
 
-function usage(text: string): CommandResult {
+function createUsageError(text: string): CommandResult {
   return {
     exit: exitCode.usage,
     text,
@@ -25,7 +28,7 @@
   };
 }
 
-function refused(text: string, stands: unknown): CommandResult {
+function createRefusal(text: string, stands: unknown): CommandResult {
   return {
     exit: exitCode.refused,
     text,
@@ -33,47 +36,58 @@
   };
 }
 
-/** Creates, changes or retires a contract, and waits until it is in force. */
+/**
+ * Creates, changes or retires a contract. The entry host responds when the
+ * change is in force or could not be confirmed as such in time.
+ */
 export async function changeContract(
   client: OperatorClient,
   change: Change,
 ): Promise<CommandResult> {
   const path = `contracts/${encodeURIComponent(change.workspace)}`;
-  const standing = await client.get<{ row: ContractRow }>(path);
-  const missing = standing.isErr && standing.error.message.includes("none");
-  if (standing.isErr && !missing) return failCommand(standing.error);
-  const row = standing.isOk ? standing.value.row : undefined;
+  const current = await client.get<{ row: ContractRow }>(path);
+  const isMissing = current.isErr && current.error.message.includes("none");
+  if (current.isErr && !isMissing) return createFailureResult(current.error);
+  const row = current.isOk ? current.value.row : undefined;
   if (change.kind !== "create" && row === undefined) {
-    return refused(`no contract stands for "${change.workspace}"`, undefined);
+    return createRefusal(
+      `no contract stands for "${change.workspace}"`,
+      undefined,
+    );
   }
   const isLive = row !== undefined && !row.retired;
   if (change.kind === "create" && isLive && change.expected === undefined) {
-    return refused(`a contract stands for "${change.workspace}"`, row);
+    return createRefusal(`a contract stands for "${change.workspace}"`, row);
   }
-  const base = change.kind === "create" ? {} : row!.content;
+  const baseContent = change.kind === "create" ? {} : row!.content;
   const checked = contractContentSchema.safeParse({
-    ...base,
+    ...baseContent,
     ...change.fields,
   });
   if (!checked.success) {
     const issue = checked.error.issues[0]!;
-    return usage(`${issue.path.join(".") || "contract"}: ${issue.message}`);
+    return createUsageError(
+      `${issue.path.join(".") || "contract"}: ${issue.message}`,
+    );
   }
   const differences = describeDifference(
     change.kind === "create" ? undefined : row!.content,
     checked.data,
   );
-  if (change.dryRun) return dryRun(change, differences);
+  if (change.dryRun) return createDryRunResult(change, differences);
   const reply = await client.put<ContractReply>(path, {
     expected: change.expected ?? row?.number ?? 0,
     content: checked.data,
     retired: change.kind === "retire",
   });
-  if (reply.isErr) return failCommand(reply.error);
-  return done(change, reply.value, differences);
+  if (reply.isErr) return createFailureResult(reply.error);
+  return createAcceptedResult(change, reply.value, differences);
 }
 
-function dryRun(change: Change, differences: string[]): CommandResult {
+function createDryRunResult(
+  change: Change,
+  differences: string[],
+): CommandResult {
   const lines = [`would ${change.kind} ${change.workspace}:`, ...differences];
   return {
     exit: exitCode.done,
@@ -82,21 +96,23 @@
   };
 }
 
-function done(
+function createAcceptedResult(
   change: Change,
   reply: ContractReply,
   differences: string[],
 ): CommandResult {
-  const away = reply.hosts_without_lease;
-  const force = reply.in_force
+  const hostsWithoutLease = reply.hosts_without_lease;
+  const state = reply.in_force
     ? "in force on every entry host with a lease"
     : "accepted; not yet confirmed in force";
   const lines = [
-    `${change.workspace}: number ${reply.stands.number}, ${force}`,
+    `${change.workspace}: number ${reply.stands.number}, ${state}`,
     ...differences,
   ];
-  if (away.length > 0) {
-    lines.push(`cut off, on guaranteed shares only: ${away.join(", ")}`);
+  if (hostsWithoutLease.length > 0) {
+    lines.push(
+      `cut off, on guaranteed shares only: ${hostsWithoutLease.join(", ")}`,
+    );
   }
   return { exit: exitCode.done, text: lines.join("\n"), json: reply };
 }
--- a/packages/operator/src/commands/command_result.ts
+++ b/packages/operator/src/commands/command_result.ts
@@ -1,8 +1,8 @@
-/** What a command prints, and how it ends. */
+/** Output and exit code of a command. */
 export type CommandResult = {
   exit: number;
-  /** For people. */
+  /** Human-readable output. */
   text: string;
-  /** For programs, with `--json`. */
+  /** Output with `--json`. */
   json: unknown;
 };
--- a/packages/operator/src/commands/contract_reply.ts
+++ b/packages/operator/src/commands/contract_reply.ts
@@ -1,6 +1,6 @@
 import type { ContractRow } from "@teaselrouter/core/contracts/contract_row.ts";
 
-/** An entry host's answer to a contract change. */
+/** Response of an entry host to an accepted contract change. */
 export type ContractReply = {
   accepted: boolean;
   stands: ContractRow;
--- a/packages/operator/src/commands/fail_command.ts
+++ b/packages/operator/src/commands/create_failure_result.ts
@@ -1,13 +1,13 @@
 import type { CallFailure } from "../client/call_failure.ts";
 import { exitCode } from "../exit_code.ts";
-import { describeStanding } from "../output/describe_standing.ts";
+import { describeCurrentState } from "../output/describe_current_state.ts";
 import type { CommandResult } from "./command_result.ts";
 
-/** A command that an entry host did not carry out. */
-export function failCommand(failure: CallFailure): CommandResult {
+/** Creates the result of a command whose call to an entry host failed. */
+export function createFailureResult(failure: CallFailure): CommandResult {
   return {
     exit: exitCode[failure.kind],
-    text: [failure.message, ...describeStanding(failure.stands)].join("\n"),
+    text: [failure.message, ...describeCurrentState(failure.stands)].join("\n"),
     json: {
       error: failure.message,
       outcome: failure.kind,
--- a/packages/operator/src/commands/list_backends.ts
+++ b/packages/operator/src/commands/list_backends.ts
@@ -2,22 +2,22 @@
 import { exitCode } from "../exit_code.ts";
 import { formatTable } from "../output/format_table.ts";
 import type { CommandResult } from "./command_result.ts";
-import { failCommand } from "./fail_command.ts";
+import { createFailureResult } from "./create_failure_result.ts";
 import type { SystemStatus } from "./system_status.ts";
 
 type Row = SystemStatus["backend_servers"][number];
 
-function stateOf(row: Row): string {
+function describeState(row: Row): string {
   if (row.drained) return "drained";
   return row.accepting ? "serving" : "not-serving";
 }
 
-/** Lists the backend servers that announce themselves. */
+/** Lists the backend servers that announce themselves to the system. */
 export async function listBackends(
   client: OperatorClient,
 ): Promise<CommandResult> {
   const status = await client.get<SystemStatus>("status");
-  if (status.isErr) return failCommand(status.error);
+  if (status.isErr) return createFailureResult(status.error);
   const rows = status.value.backend_servers.toSorted((left, right) =>
     left.backend_server < right.backend_server ? -1 : 1
   );
@@ -28,7 +28,7 @@
       row.data_centre,
       row.service,
       row.version || "-",
-      stateOf(row),
+      describeState(row),
       row.running,
       row.queued,
     ]),
--- a/packages/operator/src/commands/publish_weights.ts
+++ b/packages/operator/src/commands/publish_weights.ts
@@ -3,10 +3,10 @@
 import type { OperatorClient } from "../client/operator_client.ts";
 import { exitCode } from "../exit_code.ts";
 import type { CommandResult } from "./command_result.ts";
-import { failCommand } from "./fail_command.ts";
+import { createFailureResult } from "./create_failure_result.ts";
 import type { SystemStatus } from "./system_status.ts";
 
-const POLL_MILLISECONDS = 250;
+const POLL_INTERVAL_MILLISECONDS = 250;
 const MILLISECONDS_PER_SECOND = 1_000;
 
 type Publication = {
@@ -21,24 +21,27 @@
 
 type Reply = { accepted: boolean; stands: WeightsRow };
 
-/** Publishes a version for a service; with `wait`, until it is live. */
+/**
+ * Publishes a version of weights for a service. With `wait`, returns only when
+ * all replicas serve the version, and prints progress to stderr meanwhile.
+ */
 export async function publishWeights(
   client: OperatorClient,
   publication: Publication,
 ): Promise<CommandResult> {
   const path = `weights/${encodeURIComponent(publication.service)}`;
-  const standing = await client.get<{ row: WeightsRow }>(path);
-  const missing = standing.isErr && standing.error.message.includes("none");
-  if (standing.isErr && !missing) return failCommand(standing.error);
-  const number = standing.isOk ? standing.value.row.number : 0;
+  const current = await client.get<{ row: WeightsRow }>(path);
+  const isMissing = current.isErr && current.error.message.includes("none");
+  if (current.isErr && !isMissing) return createFailureResult(current.error);
+  const currentNumber = current.isOk ? current.value.row.number : 0;
   const reply = await client.put<Reply>(path, {
-    expected: publication.expected ?? number,
+    expected: publication.expected ?? currentNumber,
     name: publication.name,
     version: publication.version,
     store: publication.store,
     serving_share: publication.servingShare,
   });
-  if (reply.isErr) return failCommand(reply.error);
+  if (reply.isErr) return createFailureResult(reply.error);
   const accepted =
     `${publication.service}: number ${reply.value.stands.number}`;
   if (!publication.wait) {
@@ -59,7 +62,7 @@
       ? status.value.weights.find((row) => row.service === publication.service)
       : undefined;
     if (row !== undefined && row.version !== version) {
-      return failCommand({
+      return createFailureResult({
         kind: "refused",
         message: `${row.version} was published over ${version}`,
         stands: row,
@@ -67,7 +70,7 @@
     }
     const seconds = (Date.now() - startedAt) / MILLISECONDS_PER_SECOND;
     if (row !== undefined) {
-      process.stderr.write(`${progressLine(row, seconds)}\n`);
+      process.stderr.write(`${formatProgress(row, seconds)}\n`);
     }
     if (row !== undefined && row.live === row.replicas && row.live > 0) {
       const text = `${version} live on ${row.live} replicas after ${
@@ -75,16 +78,20 @@
       } s`;
       return { exit: exitCode.done, text, json: { ...row, seconds } };
     }
-    await new Promise((resolve) => setTimeout(resolve, POLL_MILLISECONDS));
+    await new Promise((resolve) =>
+      setTimeout(resolve, POLL_INTERVAL_MILLISECONDS)
+    );
   }
 }
 
-function progressLine(
+function formatProgress(
   row: SystemStatus["weights"][number],
   seconds: number,
 ): string {
-  const rate = row.live / Math.max(seconds, 0.001);
-  const left = rate === 0 ? "?" : ((row.replicas - row.live) / rate).toFixed(1);
+  const replicasPerSecond = row.live / Math.max(seconds, 0.001);
+  const secondsLeft = replicasPerSecond === 0
+    ? "?"
+    : ((row.replicas - row.live) / replicasPerSecond).toFixed(1);
   return `${row.version}  live ${row.live}/${row.replicas}  ` +
-    `${rate.toFixed(1)} replicas/s  about ${left} s left`;
+    `${replicasPerSecond.toFixed(1)} replicas/s  about ${secondsLeft} s left`;
 }
--- a/packages/operator/src/commands/show_contract.ts
+++ b/packages/operator/src/commands/show_contract.ts
@@ -3,9 +3,9 @@
 import { exitCode } from "../exit_code.ts";
 import { suggestName } from "../output/suggest_name.ts";
 import type { CommandResult } from "./command_result.ts";
-import { failCommand } from "./fail_command.ts";
+import { createFailureResult } from "./create_failure_result.ts";
 
-/** Shows one contract as it stands. */
+/** Shows the current contract of a workspace. */
 export async function showContract(
   client: OperatorClient,
   workspace: string,
@@ -13,9 +13,11 @@
   const path = `contracts/${encodeURIComponent(workspace)}`;
   const reply = await client.get<{ current: boolean; row: ContractRow }>(path);
   if (reply.isErr) {
-    const near = await nearestWorkspace(client, workspace);
-    const hint = near === undefined ? "" : `; did you mean "${near}"?`;
-    return failCommand({
+    const suggestion = await suggestWorkspace(client, workspace);
+    const hint = suggestion === undefined
+      ? ""
+      : `; did you mean "${suggestion}"?`;
+    return createFailureResult({
       ...reply.error,
       message: `${workspace}: ${reply.error.message}${hint}`,
     });
@@ -32,7 +34,7 @@
   return { exit: exitCode.done, text: lines.join("\n"), json: reply.value };
 }
 
-async function nearestWorkspace(
+async function suggestWorkspace(
   client: OperatorClient,
   workspace: string,
 ): Promise<string | undefined> {
--- a/packages/operator/src/commands/show_status.ts
+++ b/packages/operator/src/commands/show_status.ts
@@ -2,17 +2,17 @@
 import { exitCode } from "../exit_code.ts";
 import { formatTable } from "../output/format_table.ts";
 import type { CommandResult } from "./command_result.ts";
-import { failCommand } from "./fail_command.ts";
+import { createFailureResult } from "./create_failure_result.ts";
 import type { SystemStatus } from "./system_status.ts";
 
-function headline(status: SystemStatus): string {
+function formatHeadline(status: SystemStatus): string {
   const lease = status.has_lease
     ? `leader ${status.leader}, term ${status.term}`
     : "CUT OFF from the control hosts: guaranteed shares only";
   return `${status.entry_host} in ${status.data_centre}: ${lease}`;
 }
 
-function serviceRows(status: SystemStatus) {
+function buildServiceRows(status: SystemStatus) {
   const services = [
     ...new Set(status.backend_servers.map((row) => row.service)),
   ].sort();
@@ -36,18 +36,20 @@
   });
 }
 
-/** Shows the system on one screen. */
+/** Shows an overview of the system that fits on one screen. */
 export async function showStatus(
   client: OperatorClient,
 ): Promise<CommandResult> {
   const reply = await client.get<SystemStatus>("status");
-  if (reply.isErr) return failCommand(reply.error);
+  if (reply.isErr) return createFailureResult(reply.error);
   const status = reply.value;
-  const standing = status.contracts.filter((contract) => !contract.retired);
+  const activeContracts = status.contracts.filter((contract) =>
+    !contract.retired
+  );
   const text = [
-    headline(status),
+    formatHeadline(status),
     `entry hosts: ${status.entry_hosts.map((row) => row.host).join(", ")}`,
-    `contracts standing: ${standing.length}`,
+    `contracts standing: ${activeContracts.length}`,
     "",
     formatTable(
       [
@@ -59,7 +61,7 @@
         "WEIGHTS",
         "LIVE",
       ],
-      serviceRows(status),
+      buildServiceRows(status),
     ),
   ].join("\n");
   return { exit: exitCode.done, text, json: status };
--- a/packages/operator/src/commands/show_timeline.ts
+++ b/packages/operator/src/commands/show_timeline.ts
@@ -1,7 +1,7 @@
 import type { OperatorClient } from "../client/operator_client.ts";
 import { exitCode } from "../exit_code.ts";
 import type { CommandResult } from "./command_result.ts";
-import { failCommand } from "./fail_command.ts";
+import { createFailureResult } from "./create_failure_result.ts";
 
 const MICROSECONDS_PER_MILLISECOND = 1_000;
 
@@ -16,8 +16,8 @@
   unreachable: string[];
 };
 
-/** The trace-event format that browsers' trace viewers open. */
-function traceOf(timeline: Timeline): unknown {
+/** Converts events to the trace-event format of browsers' trace viewers. */
+function toTrace(timeline: Timeline): unknown {
   return {
     traceEvents: timeline.events.map((event) => ({
       name: event.kind,
@@ -31,17 +31,17 @@
   };
 }
 
-/** Merges the events of all processes, causes before effects. */
+/** Shows the events of all processes, merged with causes before effects. */
 export async function showTimeline(
   client: OperatorClient,
   options: { sinceSeconds: number; trace: boolean },
 ): Promise<CommandResult> {
   const since = Date.now() - options.sinceSeconds * 1_000;
   const reply = await client.get<Timeline>(`timeline?since=${since}`);
-  if (reply.isErr) return failCommand(reply.error);
+  if (reply.isErr) return createFailureResult(reply.error);
   const timeline = reply.value;
   if (options.trace) {
-    const json = traceOf(timeline);
+    const json = toTrace(timeline);
     return { exit: exitCode.done, text: JSON.stringify(json), json };
   }
   const lines = timeline.events.map((event) =>
--- a/packages/operator/src/commands/system_status.ts
+++ b/packages/operator/src/commands/system_status.ts
@@ -1,4 +1,4 @@
-/** What an entry host's status path answers. */
+/** Response of an entry host to `GET /v1/operator/status`. */
 export type SystemStatus = {
   entry_host: string;
   data_centre: string;
--- a/packages/operator/src/create_program.ts
+++ b/packages/operator/src/create_program.ts
@@ -13,7 +13,7 @@
 import { showStatus } from "./commands/show_status.ts";
 import { showTimeline } from "./commands/show_timeline.ts";
 import { showWeights } from "./commands/show_weights.ts";
-import { contractFields } from "./contract_fields.ts";
+import { readContractFields } from "./read_contract_fields.ts";
 import { exitCode } from "./exit_code.ts";
 import { findEntry } from "./find_entry.ts";
 
@@ -44,7 +44,7 @@
   print(await command(new OperatorClient(entry)), options);
 }
 
-function numberOf(value: unknown): number | undefined {
+function toNumber(value: unknown): number | undefined {
   return value === undefined ? undefined : Number(value);
 }
 
@@ -53,15 +53,18 @@
     program
       .command(`contract ${kind} <workspace>`)
       .describe(`${kind} a workspace's contract; waits until it is in force`)
-      .option("--rate", "Requests a second over all entry hosts")
-      .option("--burst", "Requests above the rate at one moment")
-      .option("--services", "Services it may call, comma separated")
-      .option("--guaranteed-share", "Part kept by cut-off hosts, 0 to 1")
-      .option("--deadline", "Answer time where none is named, ms")
-      .option("--priority", "0 to 9; larger goes first")
-      .option("--maximum-body", "Bytes")
-      .option("--number", "Number that this change replaces")
-      .option("--dry-run", "Only show the difference")
+      .option("--rate", "Requests per second over all entry hosts")
+      .option("--burst", "Requests that may exceed the rate at once")
+      .option("--services", "Services that it may call, comma-separated")
+      .option(
+        "--guaranteed-share",
+        "Share that hosts keep while cut off, 0 to 1",
+      )
+      .option("--deadline", "Deadline of requests that name none, ms")
+      .option("--priority", "0 to 9; a larger number goes first")
+      .option("--maximum-body", "Maximum size of a request body, bytes")
+      .option("--number", "Contract number that this change replaces")
+      .option("--dry-run", "Show the changes without making them")
       .example(
         `contract ${kind} bakery ${kind === "retire" ? "" : "--rate 50"}`,
       )
@@ -70,15 +73,15 @@
           changeContract(client, {
             workspace,
             kind,
-            fields: contractFields(options),
-            expected: numberOf(options["number"]),
+            fields: readContractFields(options),
+            expected: toNumber(options["number"]),
             dryRun: options["dry-run"] === true,
           }))
       );
   }
   program
     .command("contract show <workspace>")
-    .describe("Show one contract as it stands")
+    .describe("Show the current contract of a workspace")
     .example("contract show bakery")
     .action((workspace: string, options: Options) =>
       runWith(options, (client) => showContract(client, workspace))
@@ -94,11 +97,11 @@
   program
     .command("weights publish <name> <version>")
     .describe("Publish a version for a service")
-    .option("--service", "Service whose backend servers are to serve it")
+    .option("--service", "Service whose backend servers load the version")
     .option("--store", "URL of the weight store")
-    .option("--serving-share", "Part that serves at all times, 0 to 1")
-    .option("--number", "Number that this publication replaces")
-    .option("--wait", "Until every replica is live, with progress")
+    .option("--serving-share", "Share of replicas that always serves, 0 to 1")
+    .option("--number", "Publication number that this one replaces")
+    .option("--wait", "Wait until every replica is live; show progress")
     .example(
       "weights publish drafter 7 --service drafter --store http://store:80 --wait",
     )
@@ -115,8 +118,8 @@
           name,
           version: String(version),
           store: String(options["store"]),
-          servingShare: numberOf(options["serving-share"]),
-          expected: numberOf(options["number"]),
+          servingShare: toNumber(options["serving-share"]),
+          expected: toNumber(options["number"]),
           wait: options["wait"] === true,
         }));
     });
@@ -135,8 +138,8 @@
     .action((options: Options) => runWith(options, listBackends));
   program
     .command("backend drain <backend>")
-    .describe("Give a backend server no new work")
-    .option("--undo", "Give it work again")
+    .describe("Send no new requests to a backend server")
+    .option("--undo", "Send requests to it again")
     .example("backend drain worker-3")
     .action((backend: string, options: Options) =>
       runWith(
@@ -150,14 +153,14 @@
 function addHostCommands(program: Sade): void {
   program
     .command("member replace <name>")
-    .describe("Give a control host that lost its disk its place back")
+    .describe("Make a control host that lost its disk a voter again")
     .example("member replace van-1")
     .action((name: string, options: Options) =>
       runWith(options, (client) => replaceMember(client, name))
     );
   program
     .command("entry remove <host>")
-    .describe("Free the shares of an entry host that will not come back")
+    .describe("Free the shares of an entry host that won't return")
     .example("entry remove van-2")
     .action((host: string, options: Options) =>
       runWith(options, (client) => removeEntry(client, host))
@@ -167,14 +170,18 @@
 function addViewCommands(program: Sade): void {
   program
     .command("status")
-    .describe("Show the system on one screen")
+    .describe("Show an overview of the system")
     .example("status --entry http://10.0.0.4:8080")
     .action((options: Options) => runWith(options, showStatus));
   program
     .command("timeline")
     .describe("Show the events of all processes, merged")
-    .option("--since", "Seconds back", DEFAULT_TIMELINE_SECONDS)
-    .option("--trace", "As a file for a browser's trace viewer")
+    .option(
+      "--since",
+      "How far back to look, seconds",
+      DEFAULT_TIMELINE_SECONDS,
+    )
+    .option("--trace", "Print a file for a browser's trace viewer")
     .example("timeline --since 60 --trace > trace.json")
     .action((options: Options) =>
       runWith(options, (client) =>
@@ -185,12 +192,12 @@
     );
 }
 
-/** Builds the client's command line. */
+/** Builds the command-line parser with all commands of the client. */
 export function createProgram(): Sade {
   const program = sade("teaselrouter")
     .version("0.1.0")
-    .option("--entry", "URL of an entry host, or a file that names one")
-    .option("--json", "For programs");
+    .option("--entry", "URL of an entry host, or a settings file with one")
+    .option("--json", "Print JSON");
   addContractCommands(program);
   addWeightsCommands(program);
   addBackendCommands(program);
--- a/packages/operator/src/exit_code.ts
+++ b/packages/operator/src/exit_code.ts
@@ -1,10 +1,10 @@
-/** How a command of the client ended, for shells. */
+/** Exit codes of the command-line client. */
 export const exitCode = {
   done: 0,
-  /** Refused, with why and what stands now. */
+  /** Refused; the output states the reason and the current state, if any. */
   refused: 1,
   /** Bad usage or input; nothing was sent. */
   usage: 2,
-  /** The outcome is not known; the same command may be sent again. */
+  /** The outcome is unknown; the same command can safely be sent again. */
   unknown: 3,
 } as const;
--- a/packages/operator/src/find_entry.ts
+++ b/packages/operator/src/find_entry.ts
@@ -7,11 +7,16 @@
 const settingsSchema = z.object({ entry: z.url() });
 
 /**
- * Address of the entry host to speak to: `--entry` as a URL or a settings
- * file with a line `entry = "http://..."`, else TEASELROUTER_ENTRY.
+ * Finds the URL of the entry host to call.
+ *
+ * The `--entry` option comes first, then TEASELROUTER_ENTRY, then the default.
+ * Each may be a URL or the path of a settings file that contains
+ * `entry = "http://..."`.
+ *
+ * @returns undefined if the settings file is missing or invalid.
  */
-export function findEntry(given: string | undefined): string | undefined {
-  const entry = given ?? process.env["TEASELROUTER_ENTRY"] ?? DEFAULT_ENTRY;
+export function findEntry(option: string | undefined): string | undefined {
+  const entry = option ?? process.env["TEASELROUTER_ENTRY"] ?? DEFAULT_ENTRY;
   if (/^https?:\/\//.test(entry)) return entry;
   try {
     return settingsSchema.parse(parse(readFileSync(entry, "utf8"))).entry;
--- a/packages/operator/src/known_commands.ts
+++ b/packages/operator/src/known_commands.ts
@@ -1,4 +1,4 @@
-/** Every command of the client. */
+/** All commands of the client, used to suggest one for a mistyped name. */
 export const knownCommands = [
   "contract create",
   "contract change",
--- a/packages/operator/src/main.ts
+++ b/packages/operator/src/main.ts
@@ -4,16 +4,16 @@
 import { exitCode } from "./exit_code.ts";
 import { refuseUnknownCommand } from "./refuse_unknown_command.ts";
 
-// The command line library ends with 1 on bad usage; here that is 2.
-const endAsUsage = (code: number) => {
+// On a usage error sade exits with 1, which this client uses for `refused`.
+const exitWithUsageError = (code: number) => {
   if (code !== exitCode.done) process.exitCode = exitCode.usage;
 };
 
 refuseUnknownCommand(process.argv.slice(2));
-process.once("exit", endAsUsage);
+process.once("exit", exitWithUsageError);
 const parsed = createProgram().parse(process.argv, {
   lazy: true,
   unknown: (option) => `unknown option ${option}; see --help`,
 });
-process.off("exit", endAsUsage);
+process.off("exit", exitWithUsageError);
 if (parsed !== undefined) parsed.handler(...parsed.args);
--- a/packages/operator/src/output/describe_difference.ts
+++ b/packages/operator/src/output/describe_difference.ts
@@ -1,6 +1,6 @@
 type Content = Record<string, unknown>;
 
-/** Lists the fields that a change would set, one line each. */
+/** Lists the fields whose values differ, one line each: old -> new. */
 export function describeDifference(
   before: Content | undefined,
   after: Content,
@@ -13,8 +13,8 @@
       JSON.stringify(before?.[key]) !== JSON.stringify(after[key])
     )
     .map((key) => {
-      const old = before === undefined ? "" : JSON.stringify(before[key]);
+      const oldValue = before === undefined ? "" : JSON.stringify(before[key]);
       const arrow = before === undefined ? "" : " -> ";
-      return `  ${key}: ${old}${arrow}${JSON.stringify(after[key])}`;
+      return `  ${key}: ${oldValue}${arrow}${JSON.stringify(after[key])}`;
     });
 }
--- a/packages/operator/src/output/format_table.ts
+++ b/packages/operator/src/output/format_table.ts
@@ -1,15 +1,16 @@
-const LINE_WIDTH = 80;
-const GAP = "  ";
+const MAX_LINE_WIDTH = 80;
+const COLUMN_SEPARATOR = "  ";
 
 type Cell = string | number | boolean | undefined;
 
-function fit(text: string, width: number): string {
+/** Pads `text` to `width`, or cuts it and ends it with an ellipsis. */
+function fitToWidth(text: string, width: number): string {
   return text.length <= width
     ? text.padEnd(width)
     : `${text.slice(0, width - 1)}…`;
 }
 
-/** Lays rows out in columns; a line that would pass 80 columns is cut. */
+/** Formats rows as aligned columns; cuts lines at 80 characters. */
 export function formatTable(headings: string[], rows: Cell[][]): string {
   const lines = [
     headings,
@@ -20,8 +21,12 @@
   );
   return lines
     .map((line) =>
-      line.map((cell, column) => fit(cell, widths[column]!)).join(GAP).trimEnd()
+      line.map((cell, column) => fitToWidth(cell, widths[column]!)).join(
+        COLUMN_SEPARATOR,
+      ).trimEnd()
+    )
+    .map((line) =>
+      line.length <= MAX_LINE_WIDTH ? line : fitToWidth(line, MAX_LINE_WIDTH)
     )
-    .map((line) => line.length <= LINE_WIDTH ? line : fit(line, LINE_WIDTH))
     .join("\n");
 }
--- a/packages/operator/src/output/output_test.ts
+++ b/packages/operator/src/output/output_test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { describeDifference } from "./describe_difference.ts";
-import { describeStanding } from "./describe_standing.ts";
+import { describeCurrentState } from "./describe_current_state.ts";
 import { formatTable } from "./format_table.ts";
 import { suggestName } from "./suggest_name.ts";
 
-test("tables line up and no line passes 80 columns", () => {
+test("table columns are aligned and lines have at most 80 characters", () => {
   const text = formatTable(["NAME", "VALUE"], [
     ["short", 1],
     ["longer name", "x".repeat(100)],
@@ -16,14 +16,14 @@
   assert.ok(lines.every((line) => line.length <= 80));
 });
 
-test("a mistyped name gets the nearest known one, a strange one none", () => {
+test("only a name similar to a known one gets a suggestion", () => {
   const known = ["contract create", "contract change", "status"];
   assert.equal(suggestName("contract chnage", known), "contract change");
   assert.equal(suggestName("stats", known), "status");
   assert.equal(suggestName("something else", known), undefined);
 });
 
-test("a difference shows old and new, and only what changes", () => {
+test("a difference lists old and new values of changed fields only", () => {
   assert.deepEqual(
     describeDifference({ rate: 5, burst: 2 }, { rate: 6, burst: 2 }),
     ["  rate: 5 -> 6"],
@@ -31,10 +31,10 @@
   assert.deepEqual(describeDifference(undefined, { rate: 6 }), ["  rate: 6"]);
 });
 
-test("what stands is shown without the system's own fields", () => {
-  assert.deepEqual(describeStanding({ number: 2, history: [1] }), [
+test("the current state is shown without internal fields", () => {
+  assert.deepEqual(describeCurrentState({ number: 2, history: [1] }), [
     "stands now:",
     "  number: 2",
   ]);
-  assert.deepEqual(describeStanding(undefined), []);
+  assert.deepEqual(describeCurrentState(undefined), []);
 });
--- a/packages/operator/src/contract_fields.ts
+++ b/packages/operator/src/read_contract_fields.ts
@@ -1,6 +1,6 @@
 type Options = Record<string, unknown>;
 
-const NUMBERS: Record<string, string> = {
+const FIELD_BY_OPTION: Record<string, string> = {
   rate: "requests_per_second",
   burst: "burst",
   "guaranteed-share": "guaranteed_share",
@@ -9,10 +9,10 @@
   "maximum-body": "maximum_body_bytes",
 };
 
-/** Takes the contract's fields out of the command line's options. */
-export function contractFields(options: Options): Record<string, unknown> {
+/** Reads a contract's fields from the command-line options that are given. */
+export function readContractFields(options: Options): Record<string, unknown> {
   const fields: Record<string, unknown> = {};
-  for (const [option, field] of Object.entries(NUMBERS)) {
+  for (const [option, field] of Object.entries(FIELD_BY_OPTION)) {
     if (options[option] !== undefined) fields[field] = options[option];
   }
   if (options["services"] !== undefined) {
