--- a/tools/bundle.mjs
+++ b/tools/bundle.mjs
@@ -1,11 +1,13 @@
-// Makes one file a program under target/, for machines without packages. A
-// host that lost power serves again only once its processes have loaded, on a
-// fraction of a core, so the bundle holds nothing that isn't run: rxjs comes in
-// its module format, of which unused operators can be left out; the whole in
-// the older module format, which Node loads in less processor time, and in
-// ASCII, which V8 keeps as it is read.
-// The program runs under no V8 flag: compiled code fits only the flags that it
-// was compiled under, and Node's own modules come compiled under none.
+// Bundles the daemon into target/, for machines without installed packages.
+//
+// A host that lost power serves again only when its processes have loaded, on a
+// fraction of a core, so the bundle holds no unused code and loads fast:
+// - rxjs is bundled from its ES modules, so that unused operators are removed.
+// - The output is CommonJS, which Node loads in less CPU time than ES modules.
+// - The output is ASCII, which V8 uses without converting it.
+//
+// The program runs without V8 flags: a code cache is valid only with the flags
+// that it was made with, and Node's own modules come with one made without any.
 import { build } from "esbuild";
 import { execFileSync } from "node:child_process";
 import { copyFileSync, rmSync } from "node:fs";
@@ -14,10 +16,13 @@
 
 const PROGRAM = "target/teaselrouterd.cjs";
 const BUNDLE = "target/teaselrouterd.bundle.cjs";
-const COMPILED = "target/teaselrouterd.bundle.compiled";
+const CODE_CACHE = "target/teaselrouterd.bundle.compiled";
 
 const require = createRequire(import.meta.url);
-/** For Node, rxjs names only its older format, which is kept whole. */
+/**
+ * Path of the rxjs ES modules. For Node, rxjs exports only CommonJS, from which
+ * esbuild can't remove unused code.
+ */
 const rxjsModules = require.resolve("rxjs").replace("/cjs/", "/esm/");
 
 await build({
@@ -34,10 +39,10 @@
   logLevel: "warning",
 });
 copyFileSync("tools/launch.cjs", PROGRAM);
-rmSync(COMPILED, { force: true });
-// Checking settings loads every module and starts nothing.
+rmSync(CODE_CACHE, { force: true });
+// Makes the code cache: `--check` loads every module and starts nothing.
 execFileSync(
   process.execPath,
   [PROGRAM, "--settings", "examples/entry.toml", "--check"],
-  { env: { ...process.env, TEASELROUTER_COMPILE_TO: COMPILED } },
+  { env: { ...process.env, TEASELROUTER_COMPILE_TO: CODE_CACHE } },
 );
--- a/tools/judge_run.mjs
+++ b/tools/judge_run.mjs
@@ -1,9 +1,10 @@
 /**
- * Judges a test run against the tests that are known to fail.
+ * Decides whether a test run is good, given the list of known failures.
  *
- * A known test is named by its full name, never by a pattern. One that passes
- * or no longer exists makes the run fail, so that the list can't go stale. Only
- * one that is known to fail sometimes may pass.
+ * Known failures are listed by the full name of the test, never by a pattern. A
+ * listed test that passes or no longer exists fails the run, so that the list
+ * can't go stale. A test listed as failing intermittently (`sometimesRed`) may
+ * pass, but it must exist.
  *
  * @param {{passed: string[], failed: string[], knownRed: string[],
  *   sometimesRed?: string[]}} run
--- a/tools/judge_run_test.mjs
+++ b/tools/judge_run_test.mjs
@@ -2,13 +2,13 @@
 import { test } from "node:test";
 import { judgeRun } from "./judge_run.mjs";
 
-test("only the tests that are named are passed over", () => {
+test("only failures of listed tests are ignored", () => {
   const run = { passed: [], failed: ["a", "a b"], knownRed: ["a"] };
   assert.equal(judgeRun(run).isGood, false);
   assert.equal(judgeRun({ ...run, failed: ["a"] }).isGood, true);
 });
 
-test("a known red test that passes, or is gone, fails the run", () => {
+test("a listed test that passes or no longer exists fails the run", () => {
   const passes = judgeRun({ passed: ["a"], failed: [], knownRed: ["a"] });
   assert.equal(passes.isGood, false);
   assert.match(passes.lines[0], /passes/);
@@ -17,7 +17,7 @@
   assert.match(gone.lines[0], /no such test/);
 });
 
-test("a run without known red tests fails with any failure", () => {
+test("with an empty list, any failed test fails the run", () => {
   assert.equal(
     judgeRun({ passed: ["a"], failed: [], knownRed: [] }).isGood,
     true,
@@ -28,7 +28,7 @@
   );
 });
 
-test("a test known to fail sometimes may pass, but has to be there", () => {
+test("a test that fails intermittently may pass but must exist", () => {
   const run = { passed: ["a"], failed: [], knownRed: ["a"] };
   assert.equal(judgeRun({ ...run, sometimesRed: ["a"] }).isGood, true);
   assert.equal(judgeRun(run).isGood, false);
--- a/tools/launch.cjs
+++ b/tools/launch.cjs
@@ -1,19 +1,19 @@
-// Runs the bundle beside this file from the code that V8 compiled when it was
-// built. Compiling is a third of what a start costs; a host that lost power
-// serves again only when its processes have loaded, on a fraction of a core.
-// Where the compiled code doesn't fit the running V8, it compiles as usual.
+// Runs the bundle in this folder with the V8 code cache made at build time.
+// Compilation is a third of the startup cost, and a host that lost power serves
+// again only when its processes have loaded, on a fraction of a core. V8
+// rejects a cache made by an incompatible V8 and compiles the source instead.
 "use strict";
 const { readFileSync, writeFileSync } = require("node:fs");
 const { join } = require("node:path");
 const { Script } = require("node:vm");
 
 const bundle = join(__dirname, "teaselrouterd.bundle.cjs");
-const compiled = join(__dirname, "teaselrouterd.bundle.compiled");
+const codeCache = join(__dirname, "teaselrouterd.bundle.compiled");
 
-/** Undefined where the build made none: it is only a help. */
-function readCompiled() {
+/** @returns undefined without a cache: the bundle also runs without one. */
+function readCodeCache() {
   try {
-    return readFileSync(compiled);
+    return readFileSync(codeCache);
   } catch (error) {
     if (error.code === "ENOENT") return undefined;
     throw error;
@@ -22,12 +22,13 @@
 
 const script = new Script(
   `(function (require, module, exports) {${readFileSync(bundle, "latin1")}\n})`,
-  { filename: bundle, cachedData: readCompiled() },
+  { filename: bundle, cachedData: readCodeCache() },
 );
-const program = { exports: {} };
-script.runInThisContext()(require, program, program.exports);
+const bundleModule = { exports: {} };
+script.runInThisContext()(require, bundleModule, bundleModule.exports);
 
-// The build asks for it: what was compiled up to the end of this run.
+// Set by tools/bundle.mjs. The cache is written at exit, so that it contains
+// all functions compiled during this run.
 if (process.env.TEASELROUTER_COMPILE_TO !== undefined) {
   process.on("exit", () => {
     writeFileSync(
--- a/tools/plain_headers.mjs
+++ b/tools/plain_headers.mjs
@@ -1,3 +1,3 @@
-// Node's own Headers loads its whole fetch client at the first use, which no
-// process here needs; the bundle calls these instead.
+// Replaces the global Headers in the bundle. Node's own Headers loads the whole
+// fetch client on first use, which none of the bundled processes needs.
 export { Headers } from "headers-polyfill";
--- a/tools/print_ledger.mjs
+++ b/tools/print_ledger.mjs
@@ -1,25 +1,33 @@
-// Where the worth of played days was lost: reads reports of days and prints,
-// for each, hundredths of what was owed by cause and by price.
+// Reads reports of simulated days. For each day prints the lost worth by cause
+// and by price, as percentages of the worth that the day could have had.
 //   node tools/print_ledger.mjs REPORT...
 import { readFileSync } from "node:fs";
 import { basename } from "node:path";
 import process from "node:process";
 
-/** Seconds that a cause goes on after its trouble has begun, or ended. */
+/**
+ * Events that cost worth. `after` is how many seconds the effect lasts, counted
+ * from the event's start (`at_s`) or end (`to_s`).
+ */
 const CAUSES = [
-  { name: "final fault", kind: /^closing/, from: "at_s", after: 10 },
-  { name: "version change", kind: /^version_bump/, from: "at_s", after: 13 },
-  { name: "zone cut", kind: /^(zone|core)_cut/, from: "to_s", after: 3 },
-  { name: "empty engines", kind: /^scale_out/, from: "at_s", after: 6 },
+  { name: "final fault", eventKind: /^closing/, from: "at_s", after: 10 },
+  {
+    name: "version change",
+    eventKind: /^version_bump/,
+    from: "at_s",
+    after: 13,
+  },
+  { name: "zone cut", eventKind: /^(zone|core)_cut/, from: "to_s", after: 3 },
+  { name: "empty engines", eventKind: /^scale_out/, from: "at_s", after: 6 },
 ];
 
-function causeOf(second, events) {
-  for (const { name, kind, from, after } of CAUSES) {
-    const isNear = events.some((event) =>
-      kind.test(event.kind) && second >= Math.floor(event.at_s) - 1 &&
+function findCause(second, events) {
+  for (const { name, eventKind, from, after } of CAUSES) {
+    const isInEffect = events.some((event) =>
+      eventKind.test(event.kind) && second >= Math.floor(event.at_s) - 1 &&
       second < event[from] + after
     );
-    if (isNear) return name;
+    if (isInEffect) return name;
   }
   return "other seconds";
 }
@@ -27,9 +35,9 @@
 function sumLosses({ windows, events, all }) {
   const lost = new Map();
   for (const { name, n, worth } of windows) {
-    const cause = causeOf(Number(name), events);
-    const before = lost.get(cause) ?? 0;
-    lost.set(cause, before + 100 * n * (1 - worth) / all.n);
+    const cause = findCause(Number(name), events);
+    const sum = lost.get(cause) ?? 0;
+    lost.set(cause, sum + 100 * n * (1 - worth) / all.n);
   }
   return lost;
 }
--- a/tools/run_tests.mjs
+++ b/tools/run_tests.mjs
@@ -1,6 +1,7 @@
-// Runs every compiled test file by node:test and exits with its verdict.
-// Tests named in KNOWN-RED.txt are passed over and printed. Words on the
-// command line choose the files whose paths have one of them.
+// Runs all compiled test files with node:test; the exit code is judgeRun's
+// verdict. Failures of tests listed in KNOWN-RED.txt are printed and ignored.
+// Arguments select the test files whose paths contain one of them; the list is
+// then not used.
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import { join, resolve } from "node:path";
 import process from "node:process";
@@ -17,15 +18,16 @@
     .map((entry) => join(entry.parentPath, entry.name));
 }
 
-/** A compiled test outlives its source; the compiler takes none away. */
+/** False for leftovers: the compiler keeps the output of deleted sources. */
 function hasSource(file) {
   const source = file.replace(/\/dist\//, "/src/").replace(/\.js$/, ".ts");
   return existsSync(source);
 }
 
 /**
- * A line begins with the test's name; the rest, behind " | ", says why. Of one
- * that fails now and then the second field is "sometimes".
+ * Reads the list of known failures. The fields of a line are separated by
+ * " | ": the test's name comes first, then the reasons. The second field of a
+ * test that fails intermittently is "sometimes".
  */
 function readKnownRed() {
   if (!existsSync(KNOWN_RED_FILE)) return { knownRed: [], sometimesRed: [] };
@@ -40,17 +42,20 @@
   };
 }
 
-const only = process.argv.slice(2);
-const members = readdirSync("packages").map((name) => join("packages", name));
-const folders = [...members, "platform", "acceptance"]
-  .map((member) => join(member, "dist"))
+const pathFilters = process.argv.slice(2);
+const packageFolders = readdirSync("packages").map((name) =>
+  join("packages", name)
+);
+const outputFolders = [...packageFolders, "platform", "acceptance"]
+  .map((folder) => join(folder, "dist"))
   .filter((folder) => existsSync(folder));
 const files = [
-  ...folders.flatMap(findTestFiles).filter(hasSource),
+  ...outputFolders.flatMap(findTestFiles).filter(hasSource),
   ...findTestFiles("tools"),
 ]
   .filter((file) =>
-    only.length === 0 || only.some((part) => file.includes(part))
+    pathFilters.length === 0 ||
+    pathFilters.some((filter) => file.includes(filter))
   )
   .sort();
 const passed = [];
@@ -63,7 +68,7 @@
 events.on("test:fail", ({ name }) => failed.push(name));
 events.compose(tap).pipe(process.stdout);
 events.once("end", () => {
-  const known = only.length === 0 ? readKnownRed() : { knownRed: [] };
+  const known = pathFilters.length === 0 ? readKnownRed() : { knownRed: [] };
   const { isGood, lines } = judgeRun({ passed, failed, ...known });
   for (const line of lines) console.log(line);
   process.exitCode = isGood ? 0 : 1;
--- a/tools/setup.mjs
+++ b/tools/setup.mjs
@@ -1,4 +1,4 @@
-// Installs the workspace when a fresh checkout has no packages yet.
+// Runs `npm ci` in a fresh checkout that has no installed packages yet.
 import { execFileSync } from "node:child_process";
 import { existsSync } from "node:fs";
 
