--- a/acceptance/src/configuration_of.ts
+++ b/acceptance/src/build_configuration.ts
@@ -7,8 +7,11 @@
   maxHeaderBytes?: number;
 };
 
-/** A configuration as an operator sends it: one service of each kind. */
-export function configurationOf(options: Options) {
+/**
+ * Builds a configuration as an operator sends it: a service without an engine,
+ * one with an engine, a weight store, and a route of each type.
+ */
+export function buildConfiguration(options: Options) {
   const { version, store, model, chunks, keys = ["key-1"] } = options;
   const { maxHeaderBytes = 16_384 } = options;
   const route = {
--- a/acceptance/src/crashing_requests_test.ts
+++ b/acceptance/src/crashing_requests_test.ts
@@ -1,34 +1,37 @@
 import { waitUntil } from "@teaselrouter/experiments/harness/wait_until.ts";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { WholePath } from "./whole_path.ts";
+import { EndToEndSystem } from "./end_to_end_system.ts";
 
-const CRASHING = "crash";
-const STREAMING = "/write/x";
+const CRASH_BODY = "crash";
+const STREAMING_PATH = "/write/x";
 const MODEL_HEADERS = { Model: "model-1", "Token-Usage": "100,8" };
 const ENGINES = 4;
 const GATEWAYS = 2;
-const ROUNDS = 14;
-const ROUND_MILLISECONDS = 300;
-/** Three ends to learn from, and three more that news may be too late for. */
-const MOST_CRASHES = 6;
-const CHECK_MILLISECONDS = 10_000;
+const ATTEMPTS = 14;
+const ATTEMPT_INTERVAL_MILLISECONDS = 300;
+/**
+ * Three crashes until the request is blamed, and three more while other gateways
+ * have yet to learn of it.
+ */
+const MAX_CRASHES = 6;
+const CHECK_TIMEOUT_MILLISECONDS = 10_000;
 
 function pause(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
-/** Its status, or 0 where the answer broke off. */
+/** Sends a request; the status is 0 if the response breaks off. */
 async function ask(
-  path: WholePath,
-  options: { id: string; gateway: string; body: string; place?: string },
+  system: EndToEndSystem,
+  options: { id: string; gateway: string; body: string; path?: string },
 ): Promise<{ status: number; retryAfter: string | null }> {
   try {
-    const { place = STREAMING } = options;
-    const { status, headers } = await path.ask(place, {
+    const { path = STREAMING_PATH } = options;
+    const { status, headers } = await system.sendRequest(path, {
       ...options,
       method: "POST",
-      ...(place === STREAMING && { headers: MODEL_HEADERS }),
+      ...(path === STREAMING_PATH && { headers: MODEL_HEADERS }),
     });
     return { status, retryAfter: headers.get("retry-after") };
   } catch {
@@ -39,43 +42,43 @@
 type Answer = Awaited<ReturnType<typeof ask>>;
 
 async function withCrashingEngines(
-  story: (path: WholePath) => Promise<void>,
+  scenario: (system: EndToEndSystem) => Promise<void>,
 ): Promise<void> {
-  const path = new WholePath({ engines: ENGINES, gateways: GATEWAYS });
+  const system = new EndToEndSystem({ engines: ENGINES, gateways: GATEWAYS });
   try {
-    await path.start();
-    for (const engine of path.engines) engine.crashesOn = [CRASHING];
-    await story(path);
+    await system.start();
+    for (const engine of system.engines) engine.crashingBodies = [CRASH_BODY];
+    await scenario(system);
   } finally {
-    await path.stop();
+    await system.stop();
   }
 }
 
-/** Sends the request at fault to the gateways in turn. */
-async function askInTurn(
-  path: WholePath,
-  rounds: number,
-  place?: string,
+/** Sends the crashing request repeatedly, to each gateway in turn. */
+async function askGatewaysInTurn(
+  system: EndToEndSystem,
+  attempts: number,
+  path?: string,
 ): Promise<Answer[]> {
   const answers = [];
-  for (let round = 0; round < rounds; round += 1) {
-    const gateway = path.gatewayIps[round % GATEWAYS]!;
-    const id = `crash-${round}`;
+  for (let attempt = 0; attempt < attempts; attempt += 1) {
+    const gateway = system.gatewayIps[attempt % GATEWAYS]!;
+    const id = `crash-${attempt}`;
     answers.push(
-      await ask(path, {
+      await ask(system, {
         id,
         gateway,
-        body: CRASHING,
-        ...(place !== undefined && { place }),
+        body: CRASH_BODY,
+        ...(path !== undefined && { path }),
       }),
     );
-    await pause(ROUND_MILLISECONDS);
+    await pause(ATTEMPT_INTERVAL_MILLISECONDS);
   }
   return answers;
 }
 
-function countCrashes(path: WholePath): number {
-  return path.engines.reduce((sum, engine) => sum + engine.crashes, 0);
+function countCrashes(system: EndToEndSystem): number {
+  return system.engines.reduce((sum, engine) => sum + engine.crashCount, 0);
 }
 
 function assertRefused(answers: Answer[]): void {
@@ -85,61 +88,65 @@
   }
 }
 
-// Guards against a request that ends each backend server which runs it, comes
-// again at all gateways, and takes one backend server after the other.
-test("a request that ends backend servers is refused by every gateway", async () => {
-  await withCrashingEngines(async (path) => {
-    const answers = await askInTurn(path, ROUNDS);
-    const crashes = countCrashes(path);
-    console.log(`${crashes} ends under ${ROUNDS} arrivals`);
-    assert.ok(crashes <= MOST_CRASHES, `${crashes} ends`);
+// Guards against a request that crashes each backend server that runs it: as it
+// is sent again to all gateways, it would crash one server after the other.
+test("a request that crashes backend servers is refused by every gateway", async () => {
+  await withCrashingEngines(async (system) => {
+    const answers = await askGatewaysInTurn(system, ATTEMPTS);
+    const crashes = countCrashes(system);
+    console.log(`${crashes} crashes in ${ATTEMPTS} attempts`);
+    assert.ok(crashes <= MAX_CRASHES, `${crashes} ends`);
     assertRefused(answers.slice(-GATEWAYS));
-    for (const gateway of path.gatewayIps) {
+    for (const gateway of system.gatewayIps) {
       const served = await waitUntil(
         async () =>
-          (await ask(path, { id: "other", gateway, body: "prompt" })).status ===
+          (await ask(system, { id: "other", gateway, body: "prompt" }))
+            .status ===
             200,
-        CHECK_MILLISECONDS,
+        CHECK_TIMEOUT_MILLISECONDS,
       );
       assert.ok(served, "the caller's other requests are served");
     }
   });
 });
 
-// Guards against a loss of all power after which everything is learnt anew,
-// at the cost of three more backend servers.
-test("a request that ends backend servers is known after a loss of power", async () => {
-  await withCrashingEngines(async (path) => {
-    await askInTurn(path, ROUNDS);
-    const before = countCrashes(path);
-    await path.restartAll();
-    assertRefused(await askInTurn(path, GATEWAYS));
-    assert.equal(countCrashes(path), before);
+// Guards against forgetting the blame in a power loss of all hosts: learning it
+// again would crash three more backend servers.
+test("a request that crashes backend servers is still refused after a power loss", async () => {
+  await withCrashingEngines(async (system) => {
+    await askGatewaysInTurn(system, ATTEMPTS);
+    const before = countCrashes(system);
+    await system.restartAll();
+    assertRefused(await askGatewaysInTurn(system, GATEWAYS));
+    assert.equal(countCrashes(system), before);
   });
 });
 
-// Guards against a loss of power ahead of the verdict, behind which as many
-// backend servers have to end as before.
-test("ends ahead of a blame are known after a loss of power", async () => {
-  await withCrashingEngines(async (path) => {
-    await askInTurn(path, 1);
-    assert.equal(countCrashes(path), 2, "the gateway's own second send");
-    await pause(ROUND_MILLISECONDS);
-    await path.restartAll();
-    await askInTurn(path, ROUNDS / 2);
-    const crashes = countCrashes(path);
-    assert.ok(crashes <= MOST_CRASHES - 2, `${crashes} ends`);
+// Guards against forgetting crashes in a power loss before the request is
+// blamed: as many backend servers would have to crash again.
+test("crashes before a blame still count after a power loss", async () => {
+  await withCrashingEngines(async (system) => {
+    await askGatewaysInTurn(system, 1);
+    assert.equal(countCrashes(system), 2, "the gateway's own second send");
+    await pause(ATTEMPT_INTERVAL_MILLISECONDS);
+    await system.restartAll();
+    await askGatewaysInTurn(system, ATTEMPTS / 2);
+    const crashes = countCrashes(system);
+    assert.ok(crashes <= MAX_CRASHES - 2, `${crashes} ends`);
   });
 });
 
 // Guards against a fault that shows only where an answer's head comes first:
 // plain answers come whole or not at all.
-test("one that doesn't stream and ends backend servers is refused as well", async () => {
-  await withCrashingEngines(async (path) => {
-    path.plain.crashesOn = [CRASHING];
-    const answers = await askInTurn(path, ROUNDS, "/look/x");
-    assert.ok(path.plain.crashes >= 3);
-    assert.ok(path.plain.crashes <= MOST_CRASHES, `${path.plain.crashes} ends`);
+test("a plain request that crashes backend servers is refused as well", async () => {
+  await withCrashingEngines(async (system) => {
+    system.plainServer.crashingBodies = [CRASH_BODY];
+    const answers = await askGatewaysInTurn(system, ATTEMPTS, "/look/x");
+    assert.ok(system.plainServer.crashCount >= 3);
+    assert.ok(
+      system.plainServer.crashCount <= MAX_CRASHES,
+      `${system.plainServer.crashCount} ends`,
+    );
     assertRefused(answers.slice(-GATEWAYS));
   });
 });
--- /dev/null
+++ b/acceptance/src/end_to_end_system.ts
@@ -0,0 +1,276 @@
+import { waitUntil } from "@teaselrouter/experiments/harness/wait_until.ts";
+import { buildConfiguration } from "./build_configuration.ts";
+import { LoopbackCluster } from "./loopback_cluster.ts";
+import { FakeBackendServer } from "./fake_backend_server.ts";
+import { FakeWeightStore } from "./fake_weight_store.ts";
+
+const MODEL = "model-1";
+const START_TIMEOUT_MILLISECONDS = 20_000;
+const HEARTBEAT_INTERVAL_MILLISECONDS = 200;
+const CALL_TIMEOUT_MILLISECONDS = 1_000;
+const DEFAULT_ENGINES = 2;
+/** Host indexes of gateways and stagers; those of control hosts start at 0. */
+const FIRST_GATEWAY_INDEX = 10;
+const FIRST_STAGER_INDEX = 40;
+
+type Options = { engines?: number; gateways?: number; controlHosts?: number };
+
+/**
+ * A complete system on loopback: all daemon processes, with fake backend servers
+ * and a fake weight store.
+ */
+export class EndToEndSystem {
+  readonly cluster = new LoopbackCluster();
+  readonly store = new FakeWeightStore();
+  readonly engines: FakeBackendServer[] = [];
+  /** The backend server without an engine, which serves plain requests. */
+  readonly plainServer: FakeBackendServer;
+  /** IP addresses of the gateways; most tests use only the first. */
+  readonly gatewayIps: string[] = [];
+  #gatewayCount: number;
+  #controlHostCount: number;
+  #storeAddress = "";
+  #heartbeatTimer: NodeJS.Timeout | undefined;
+  #leavingServers = new Set<FakeBackendServer>();
+
+  constructor(
+    { engines = DEFAULT_ENGINES, gateways = 1, controlHosts = 1 }: Options = {},
+  ) {
+    const { store } = this;
+    this.#gatewayCount = gateways;
+    this.#controlHostCount = controlHosts;
+    for (let index = 0; index < engines; index += 1) {
+      const instance = `engine-${index}`;
+      this.engines.push(
+        new FakeBackendServer({ instance, store, model: MODEL }),
+      );
+    }
+    this.plainServer = new FakeBackendServer({
+      instance: "plain-0",
+      store,
+      model: "",
+    });
+  }
+
+  get gatewayIp(): string {
+    return this.gatewayIps[0]!;
+  }
+
+  /** Starts all processes. When this resolves, the system serves requests. */
+  async start(): Promise<void> {
+    const { cluster } = this;
+    await cluster.allocateAddresses(this.#controlHostCount);
+    this.#storeAddress = await this.store.listen("127.0.0.1");
+    await this.plainServer.listen("127.0.0.1");
+    for (let index = 0; index < this.#controlHostCount; index += 1) {
+      cluster.start("control", index);
+    }
+    for (const [index, engine] of this.engines.entries()) {
+      await engine.listen("127.0.0.1");
+      const extra = { app: engine.address, service: "writer" };
+      cluster.start("stager", FIRST_STAGER_INDEX + index, extra);
+    }
+    for (let index = 0; index < this.#gatewayCount; index += 1) {
+      const host = cluster.start("gateway", FIRST_GATEWAY_INDEX + index);
+      this.gatewayIps.push(host.ip);
+    }
+    this.#heartbeatTimer = setInterval(
+      () => this.#sendHeartbeats(),
+      HEARTBEAT_INTERVAL_MILLISECONDS,
+    );
+    await this.#waitFor(() => this.configure(1), "configured");
+    for (const ip of this.gatewayIps) {
+      await this.#waitFor(() => this.isReady(ip), "ready");
+    }
+    await this.#waitFor(
+      () => this.engines.every(({ version }) => version === 1),
+      "weights loaded",
+    );
+    await this.#waitFor(
+      async () => (await this.stream("warm")).status === 200,
+      "serving",
+    );
+  }
+
+  /** Kills all control hosts and gateways at once and starts them again. */
+  async restartAll(): Promise<void> {
+    const { cluster } = this;
+    await cluster.restart([...this.controlNames, ...this.gatewayNames]);
+    for (const ip of this.gatewayIps) {
+      await this.#waitFor(() => this.isReady(ip), "ready");
+    }
+  }
+
+  get controlNames(): string[] {
+    return Array.from(
+      { length: this.#controlHostCount },
+      (_, index) => `control-${index}`,
+    );
+  }
+
+  get gatewayNames(): string[] {
+    return this.gatewayIps.map((_, index) =>
+      `gateway-${FIRST_GATEWAY_INDEX + index}`
+    );
+  }
+
+  async stop(): Promise<void> {
+    clearInterval(this.#heartbeatTimer);
+    await this.cluster.stop();
+    for (const server of [...this.engines, this.plainServer, this.store]) {
+      server.close();
+    }
+  }
+
+  /** Sends a configuration; returns whether a control host accepted it. */
+  async configure(
+    version: number,
+    keys?: string[],
+    maxHeaderBytes?: number,
+  ): Promise<boolean> {
+    const configuration = buildConfiguration({
+      version,
+      store: this.#storeAddress,
+      model: MODEL,
+      chunks: this.store.chunks,
+      ...(keys && { keys }),
+      ...(maxHeaderBytes !== undefined && { maxHeaderBytes }),
+    });
+    const answer = await this.callControlHost("PUT", "/config", configuration);
+    return answer.status === 200;
+  }
+
+  nameWeights(version: number): Promise<{ status: number; text: string }> {
+    return this.callControlHost("POST", "/version-put", {
+      model: MODEL,
+      version,
+    });
+  }
+
+  /** Calls the control hosts in turn until one neither fails nor answers 503. */
+  async callControlHost(
+    method: string,
+    path: string,
+    body?: unknown,
+  ): Promise<{ status: number; text: string }> {
+    const text = typeof body === "string" ? body : JSON.stringify(body);
+    let answer = { status: 0, text: "" };
+    for (const base of this.cluster.controlUrls) {
+      answer = await this.#callUrl(`${base}${path}`, method, text);
+      if (answer.status !== 0 && answer.status !== 503) return answer;
+    }
+    return answer;
+  }
+
+  async #callUrl(
+    url: string,
+    method: string,
+    text: string | undefined,
+  ): Promise<{ status: number; text: string }> {
+    try {
+      const answer = await fetch(url, {
+        method,
+        ...(text !== undefined && { body: text }),
+        signal: AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS),
+      });
+      return { status: answer.status, text: await answer.text() };
+    } catch (error) {
+      return { status: 0, text: String(error) };
+    }
+  }
+
+  async isReady(ip = this.gatewayIp): Promise<boolean> {
+    try {
+      const answer = await fetch(this.cluster.readinessUrl(ip));
+      return answer.status === 200;
+    } catch {
+      return false;
+    }
+  }
+
+  /**
+   * Sends a request to a gateway as a client of the platform does. Rejects if the
+   * response breaks off.
+   */
+  async sendRequest(
+    path: string,
+    options: {
+      id: string;
+      method?: string;
+      key?: string;
+      host?: string;
+      headers?: Record<string, string>;
+      body?: string;
+      /** IP address of the gateway; defaults to the first. */
+      gateway?: string;
+    },
+  ): Promise<{ status: number; text: string; headers: Headers }> {
+    const { id, method = "GET", key = "key-1", body } = options;
+    const { request } = await import("node:http");
+    const { gateway = this.gatewayIp } = options;
+    const url = new URL(this.cluster.frontendUrl(gateway) + path);
+    return await new Promise((resolve, reject) => {
+      const outgoing = request(url, {
+        method,
+        headers: {
+          Host: options.host ?? "desk.example",
+          "Attempt-Id": id,
+          "Deadline-Ms": "2000",
+          Authorization: `Bearer ${key}`,
+          ...options.headers,
+        },
+      }, async (response) => {
+        let text = "";
+        try {
+          for await (const part of response) text += part;
+        } catch (error) {
+          return reject(error);
+        }
+        const headers = new Headers(response.headers as Record<string, string>);
+        resolve({ status: response.statusCode ?? 0, text, headers });
+      });
+      outgoing.on("error", reject);
+      outgoing.end(body);
+    });
+  }
+
+  /** Sends a request whose response is a stream of events. */
+  stream(id: string, headers: Record<string, string> = {}) {
+    return this.sendRequest("/write/x", {
+      id,
+      method: "POST",
+      body: "prompt",
+      headers: { Model: MODEL, "Token-Usage": "100,8", ...headers },
+    });
+  }
+
+  /** The server announces from now on that it is leaving, but still serves. */
+  announceLeaving(server: FakeBackendServer): void {
+    this.#leavingServers.add(server);
+  }
+
+  #sendHeartbeats(): void {
+    const servers = [
+      ...this.engines.map((server) => [server, "writer"] as const),
+      [this.plainServer, "plain"] as const,
+    ];
+    for (const [server, service] of servers) {
+      if (server.isDown) continue;
+      const state = this.#leavingServers.has(server) ? "draining" : "ready";
+      const { instance } = server;
+      this.callControlHost(
+        "PUT",
+        `/instances/${instance}`,
+        server.heartbeat(service, state),
+      );
+    }
+  }
+
+  async #waitFor(
+    check: () => Promise<boolean> | boolean,
+    goal: string,
+  ): Promise<void> {
+    if (await waitUntil(check, START_TIMEOUT_MILLISECONDS)) return;
+    throw new Error(`not ${goal} in time; logs in ${this.cluster.folder}`);
+  }
+}
--- a/acceptance/src/stand_in_server.ts
+++ b/acceptance/src/fake_backend_server.ts
@@ -7,41 +7,46 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 import { performance } from "node:perf_hooks";
-import type { StandInStore } from "./stand_in_store.ts";
-
-const EVENTS = 8;
-const EVENT_MILLISECONDS = 10;
-/** From the beginning of an answer to the end of the process under it. */
-const CRASH_MILLISECONDS = 20;
-const DOWN_MILLISECONDS = 400;
-const FIRST_BORN = 1_000;
-
-type Options = { instance: string; store: StandInStore; model: string };
-
-/** A backend server of the platform: plain requests, streams, and weights. */
-export class StandInServer {
-  /** Ids of the requests that it ran, in order. */
-  readonly ran: string[] = [];
-  /** Events of a stream behind which it breaks off; each used once. */
-  breaksAfter: number[] = [];
-  /** Takes requests and answers nothing more, as a host that froze does. */
+import type { FakeWeightStore } from "./fake_weight_store.ts";
+
+const STREAM_EVENTS = 8;
+const EVENT_INTERVAL_MILLISECONDS = 10;
+/** Time from the start of a response until its request crashes the server. */
+const CRASH_DELAY_MILLISECONDS = 20;
+const RESTART_MILLISECONDS = 400;
+const FIRST_START_TIME = 1_000;
+
+type Options = { instance: string; store: FakeWeightStore; model: string };
+
+/**
+ * Fake backend server of the platform. Serves plain requests, or as an engine
+ * streams, and stages and loads weights.
+ */
+export class FakeBackendServer {
+  /** Ids of the requests that the server ran, in order. */
+  readonly ranRequestIds: string[] = [];
+  /** Event ids after which the next streams break off; each is used once. */
+  breakAfterEvents: number[] = [];
+  /** Accepts requests but sends nothing more, like a server on a frozen host. */
   isFrozen = false;
-  /** Bodies of requests under which it ends. */
-  crashesOn: readonly string[] = [];
+  /** Bodies of requests that crash the server. */
+  crashingBodies: readonly string[] = [];
+  /** Whether the server has crashed and not yet restarted. */
   isDown = false;
-  /** Requests a second that it names with its answers; undefined for none. */
+  /** Requests per second stated in the responses; undefined for no limit. */
   limitPerSecond: number | undefined;
-  /** Requests that reached it, with the moment in `performance`'s ms. */
+  /** Requests received; times are from `performance.now()`, milliseconds. */
   readonly arrivals: { id: string; at: number }[] = [];
-  /** When it ended, and under which request; undefined for none. */
-  readonly ends: { at: number; id: string | undefined }[] = [];
+  /** Time and request of each crash; the id is undefined without a request. */
+  readonly crashRecords: { at: number; id: string | undefined }[] = [];
   #isClosed = false;
+  /** Version of the loaded weights; 0 for none. */
   version = 0;
   address = "";
   #options: Options;
   #staged = new Map<number, Buffer>();
-  #sequence = 0;
-  #beats = 0;
+  #acceptedOrders = 0;
+  #heartbeats = 0;
   #server = createServer({ maxHeaderSize: 65_536 }, (request, response) => {
     this.#handle(request, response).catch(() => response.destroy());
   });
@@ -50,19 +55,19 @@
     this.#options = options;
   }
 
-  /** Each start is a new one, under a name of its own. */
+  /** Name of the instance; a restart is a new instance with a new name. */
   get instance(): string {
     const { instance } = this.#options;
-    return this.crashes === 0 ? instance : `${instance}-${this.crashes}`;
+    return this.crashCount === 0 ? instance : `${instance}-${this.crashCount}`;
   }
 
-  /** Times that it has ended. */
-  get crashes(): number {
-    return this.ends.length;
+  /** Number of crashes so far. */
+  get crashCount(): number {
+    return this.crashRecords.length;
   }
 
-  get #born(): number {
-    return FIRST_BORN + this.crashes;
+  get #startTime(): number {
+    return FIRST_START_TIME + this.crashCount;
   }
 
   async listen(host: string): Promise<void> {
@@ -79,9 +84,9 @@
     this.#server.closeAllConnections();
   }
 
-  /** What it says of itself at a heartbeat. */
+  /** Builds the next heartbeat document. */
   heartbeat(service: string, state: "ready" | "draining") {
-    this.#beats += 1;
+    this.#heartbeats += 1;
     return {
       service,
       address: this.address,
@@ -91,8 +96,8 @@
       state,
       coldRemainingMs: 0,
       models: this.#models(),
-      sequence: this.#beats,
-      born: this.#born,
+      sequence: this.#heartbeats,
+      born: this.#startTime,
     };
   }
 
@@ -112,27 +117,27 @@
       const bytes = this.#staged.get(Number(chunk));
       return void response.writeHead(bytes ? 200 : 404).end(bytes);
     }
-    if (url.pathname === "/order") return this.#order(body, response);
-    return this.#run(request, body, response);
+    if (url.pathname === "/order") return this.#loadWeights(body, response);
+    return this.#runRequest(request, body, response);
   }
 
-  #order(body: Buffer, response: ServerResponse): void {
+  #loadWeights(body: Buffer, response: ServerResponse): void {
     const order = JSON.parse(body.toString());
     const { store } = this.#options;
-    const whole = Array.from({ length: store.chunks }, (_, chunk) => chunk)
+    const isComplete = Array.from({ length: store.chunks }, (_, chunk) => chunk)
       .every((chunk) =>
         digestOf(this.#staged.get(chunk)) ===
           store.digest(order.version, chunk)
       );
-    if (!whole || order.expected !== this.#sequence) {
+    if (!isComplete || order.expected !== this.#acceptedOrders) {
       return void response.writeHead(409).end();
     }
-    this.#sequence += 1;
+    this.#acceptedOrders += 1;
     this.version = order.version;
     response.writeHead(202).end();
   }
 
-  async #run(
+  async #runRequest(
     request: IncomingMessage,
     body: Buffer,
     response: ServerResponse,
@@ -146,7 +151,7 @@
     }
     this.arrivals.push({ id, at: performance.now() });
     if (this.isFrozen) return;
-    this.ran.push(id);
+    this.ranRequestIds.push(id);
     response.writeHead(200, {
       "Attempt-Id": id,
       "Server-Signature": this.instance,
@@ -156,31 +161,34 @@
         "Server-Limit": String(this.limitPerSecond),
       }),
     });
-    if (this.crashesOn.includes(body.toString())) {
+    if (this.crashingBodies.includes(body.toString())) {
       response.flushHeaders();
-      await pause(CRASH_MILLISECONDS);
+      await pause(CRASH_DELAY_MILLISECONDS);
       return this.crash(id);
     }
     if (headers["model"] === undefined) {
-      const seen = [request.method, request.url, headers["tenant"], body];
-      return void response.end(seen.join(" "));
+      const echo = [request.method, request.url, headers["tenant"], body];
+      return void response.end(echo.join(" "));
     }
-    await this.#stream(response, Number(headers["last-event-id"] ?? 0));
+    await this.#streamEvents(response, Number(headers["last-event-id"] ?? 0));
   }
 
-  /** All connections go at once, and nothing listens until it is back. */
+  /**
+   * Closes all connections at once and forgets the loaded weights. Nothing
+   * listens until the server has restarted.
+   */
   async crash(id?: string): Promise<void> {
     if (this.isDown) return;
-    this.ends.push({ at: performance.now(), id });
+    this.crashRecords.push({ at: performance.now(), id });
     const [host, port] = this.address.split(":");
     this.isDown = true;
     this.version = 0;
-    this.#sequence = 0;
-    this.#beats = 0;
+    this.#acceptedOrders = 0;
+    this.#heartbeats = 0;
     const closed = new Promise((resolve) => this.#server.close(resolve));
     this.#server.closeAllConnections();
     await closed;
-    await pause(DOWN_MILLISECONDS);
+    await pause(RESTART_MILLISECONDS);
     if (this.#isClosed) return;
     await new Promise<void>((resolve) =>
       this.#server.listen(Number(port), host, () => resolve())
@@ -188,17 +196,17 @@
     this.isDown = false;
   }
 
-  async #stream(response: ServerResponse, after: number): Promise<void> {
-    const breakAfter = this.breaksAfter.shift() ?? Infinity;
-    for (let event = after + 1; event <= EVENTS; event += 1) {
+  async #streamEvents(response: ServerResponse, after: number): Promise<void> {
+    const breakAfter = this.breakAfterEvents.shift() ?? Infinity;
+    for (let event = after + 1; event <= STREAM_EVENTS; event += 1) {
       if (this.isFrozen) return;
       if (event > breakAfter) {
         response.write(`id: ${event}\nda`);
-        await pause(EVENT_MILLISECONDS);
+        await pause(EVENT_INTERVAL_MILLISECONDS);
         return void response.destroy();
       }
       response.write(`id: ${event}\ndata: t${event}\n\n`);
-      await pause(EVENT_MILLISECONDS);
+      await pause(EVENT_INTERVAL_MILLISECONDS);
     }
     response.end();
   }
@@ -208,10 +216,10 @@
       phase: "prefill_decode",
       models: this.#models(),
       busy: false,
-      sequence: this.#sequence,
+      sequence: this.#acceptedOrders,
       queued: 0,
       active: 0,
-      born: this.#born,
+      born: this.#startTime,
     };
   }
 
--- a/acceptance/src/stand_in_store.ts
+++ b/acceptance/src/fake_weight_store.ts
@@ -7,8 +7,11 @@
 const CHUNKS = 6;
 const CHUNK_BYTES = 4_096;
 
-/** Weights of any version, made from its number. */
-export class StandInStore {
+/**
+ * Fake weight store. Serves any version of any model; the bytes are generated
+ * from the version number.
+ */
+export class FakeWeightStore {
   #server = createServer((request, response) => {
     const url = new URL(request.url ?? "", "http://store");
     const version = Number(url.searchParams.get("version"));
--- a/acceptance/src/find_day_faults.ts
+++ b/acceptance/src/find_day_faults.ts
@@ -1,30 +1,38 @@
-import type { DayFigures } from "./day_figures.ts";
+import type { DayResult } from "./day_result.ts";
 
-/** Repeats of a request that is known to end what runs it. */
-const MOST_LATE_ARRIVALS = 3;
-/** One in so many may be refused for what another did. */
-const WRONG_BLAME_SHARE = 1 / 200;
-const LEAST_SERVED_SHARE = 0.5;
+/** Allowed arrivals of a request after it is known to crash engines. */
+const MAX_LATE_ARRIVALS = 3;
+/** Share of requests that may be refused because of another request. */
+const MAX_WRONG_BLAME_SHARE = 1 / 200;
+const MIN_SERVED_SHARE = 0.5;
 
-/** What a day broke of what has to hold, in words. */
-export function findDayFaults(figures: DayFigures, spoilt: number): string[] {
-  const { served, refused, broken, wronglyBlamed, lateArrivals } = figures;
-  const all = served + refused + broken;
+/**
+ * Lists the requirements that a day violated, as text.
+ *
+ * @param incomplete number of responses with status 200 that were incomplete.
+ */
+export function findDayFaults(result: DayResult, incomplete: number): string[] {
+  const { served, refused, broken, wronglyBlamed, lateArrivals } = result;
+  const total = served + refused + broken;
   const faults: string[] = [];
   for (const late of lateArrivals) {
-    if (late > MOST_LATE_ARRIVALS) {
-      faults.push(`a request at fault arrived ${late} times late`);
+    if (late > MAX_LATE_ARRIVALS) {
+      faults.push(
+        `a crashing request arrived ${late} times after it had to be known`,
+      );
     }
   }
-  if (figures.mostLimited > figures.allowedLimited) {
-    faults.push(`${figures.mostLimited} of ${figures.allowedLimited} in 4 s`);
+  if (result.maxLimitedArrivals > result.allowedLimitedArrivals) {
+    faults.push(
+      `${result.maxLimitedArrivals} arrivals in 4 s, the limit allows ${result.allowedLimitedArrivals}`,
+    );
   }
-  if (wronglyBlamed > all * WRONG_BLAME_SHARE) {
-    faults.push(`${wronglyBlamed} of ${all} were blamed wrongly`);
+  if (wronglyBlamed > total * MAX_WRONG_BLAME_SHARE) {
+    faults.push(`${wronglyBlamed} of ${total} were wrongly blamed for crashes`);
   }
-  if (spoilt > 0) faults.push(`${spoilt} answers were not whole`);
-  if (served < all * LEAST_SERVED_SHARE) {
-    faults.push(`only ${served} of ${all} were served`);
+  if (incomplete > 0) faults.push(`${incomplete} responses were incomplete`);
+  if (served < total * MIN_SERVED_SHARE) {
+    faults.push(`only ${served} of ${total} were served`);
   }
   return faults;
 }
--- a/acceptance/src/incident_day.ts
+++ b/acceptance/src/incident_day.ts
@@ -1,115 +1,123 @@
 import { hashText } from "@teaselrouter/core/random/hash_text.ts";
 import { seededRandom } from "@teaselrouter/core/random/seeded_random.ts";
 import { performance } from "node:perf_hooks";
-import type { DayFigures } from "./day_figures.ts";
-import { findBoundArrivals } from "./find_bound_arrivals.ts";
+import type { DayResult } from "./day_result.ts";
+import { findArrivalsUnderLimit } from "./find_arrivals_under_limit.ts";
 import { findDayFaults } from "./find_day_faults.ts";
-import type { Limited } from "./limited.ts";
-import { mostWithin } from "./most_within.ts";
-import type { StandInServer } from "./stand_in_server.ts";
-import { WholePath } from "./whole_path.ts";
+import type { LimitPeriod } from "./limit_period.ts";
+import { countMostWithin } from "./count_most_within.ts";
+import type { FakeBackendServer } from "./fake_backend_server.ts";
+import { EndToEndSystem } from "./end_to_end_system.ts";
 
 const GATEWAYS = 10;
 const CONTROL_HOSTS = 3;
 const ENGINES = 6;
 const DAY_MILLISECONDS = 20_000;
+/** Requests per second, without the crashing ones. */
 const REQUESTS_PER_SECOND = 40;
-const TROUBLES = 4;
-const CRASHING = ["crash one", "crash two"];
-const LONG_BODY_BYTES = 40_000;
+const DISRUPTIONS = 4;
+const CRASH_BODIES = ["crash one", "crash two"];
+const MAX_BODY_BYTES = 40_000;
 const STREAM_EVENTS = 8;
 /** Until the parts of a limit are known everywhere. */
 const TOLD_MILLISECONDS = 3_000;
 const WINDOW_MILLISECONDS = 4_000;
-const OFF_MILLISECONDS = 1_500;
+const FREEZE_MILLISECONDS = 1_500;
 
 type Answer = { status: number; text: string; isBroken: boolean };
-type Trouble = { name: string; strike: (path: WholePath) => Promise<unknown> };
+type Disruption = {
+  name: string;
+  inject: (system: EndToEndSystem) => Promise<unknown>;
+};
 
 /**
- * A day on loopback with ten gateways and uneven arrival: requests that end
- * engines come again everywhere, one engine names a limit, and hosts, engines
- * and weights change meanwhile.
+ * Simulates a day of incidents on loopback with ten unevenly loaded gateways.
+ * Requests that crash engines are sent again and again to all gateways, and one
+ * engine states limits. Meanwhile hosts and engines fail, and new weights are
+ * loaded.
  */
 export class IncidentDay {
   #seed: number;
   #random: () => number;
-  #path = new WholePath({
+  #system = new EndToEndSystem({
     engines: ENGINES,
     gateways: GATEWAYS,
     controlHosts: CONTROL_HOSTS,
   });
   #answers: Promise<Answer>[] = [];
-  #limited: Limited[] = [];
-  /** Gateways asked, by request; and when each started anew. */
-  #gatewayAsked = new Map<string, string>();
+  #limitPeriods: LimitPeriod[] = [];
+  /** The gateway that each request was sent to, by request id. */
+  #gatewayByRequest = new Map<string, string>();
+  /** When gateways restarted. */
   #restarts: { gateway: string; at: number }[] = [];
-  #sent = 0;
+  #sentRequests = 0;
 
   constructor(seed: number) {
     this.#seed = seed;
     this.#random = seededRandom(hashText(String(seed)));
   }
 
-  async play(): Promise<DayFigures> {
-    const path = this.#path;
-    const troubles = this.#drawTroubles();
+  async run(): Promise<DayResult> {
+    const system = this.#system;
+    const disruptions = this.#drawDisruptions();
     try {
-      await path.start();
-      for (const engine of path.engines) engine.crashesOn = CRASHING;
+      await system.start();
+      for (const engine of system.engines) engine.crashingBodies = CRASH_BODIES;
       const work = [
-        this.#sendOthers(),
-        this.#sendCrashing(),
-        this.#nameLimits(path.engines.at(-1)!),
-        this.#strike(troubles),
+        this.#sendHarmlessRequests(),
+        this.#sendCrashingRequests(),
+        this.#setLimits(system.engines.at(-1)!),
+        this.#injectDisruptions(disruptions),
       ];
       await Promise.all(work);
       const answers = await Promise.all(this.#answers);
-      return this.#figures(answers, troubles);
+      return this.#buildResult(answers, disruptions);
     } finally {
-      await path.stop();
+      await system.stop();
     }
   }
 
-  #drawTroubles(): Trouble[] {
-    const gateway = () => this.#pick(this.#path.gatewayNames);
-    const all: Trouble[] = [
+  #drawDisruptions(): Disruption[] {
+    const gateway = () => this.#pick(this.#system.gatewayNames);
+    const all: Disruption[] = [
       {
         name: "gateway killed",
-        strike: (path) => this.#restartGateway(path, gateway()),
+        inject: (system) => this.#restartGateway(system, gateway()),
       },
-      { name: "gateway frozen", strike: (path) => freeze(path, gateway()) },
+      { name: "gateway frozen", inject: (system) => freeze(system, gateway()) },
       {
         name: "control host killed",
-        strike: (path) => restart(path, this.#pick(path.controlNames)),
+        inject: (system) => restart(system, this.#pick(system.controlNames)),
       },
-      { name: "all power lost", strike: (path) => this.#restartAll(path) },
-      { name: "version named", strike: (path) => path.nameWeights(2) },
+      { name: "all power lost", inject: (system) => this.#restartAll(system) },
+      { name: "new version named", inject: (system) => system.nameWeights(2) },
       {
-        name: "engine ended by itself",
-        strike: (path) => this.#pick(path.engines.slice(0, -1)).crash(),
+        name: "engine crashed by itself",
+        inject: (system) => this.#pick(system.engines.slice(0, -1)).crash(),
       },
       {
-        name: "half of the engines ended by themselves",
-        strike: (path) =>
+        name: "half of the engines crashed by themselves",
+        inject: (system) =>
           Promise.all(
-            path.engines.slice(0, ENGINES / 2).map((engine) => engine.crash()),
+            system.engines.slice(0, ENGINES / 2).map((engine) =>
+              engine.crash()
+            ),
           ),
       },
     ];
-    return Array.from({ length: TROUBLES }, () => this.#pick(all));
+    return Array.from({ length: DISRUPTIONS }, () => this.#pick(all));
   }
 
-  async #restartGateway(path: WholePath, name: string): Promise<void> {
-    const gateway = path.gatewayIps[path.gatewayNames.indexOf(name)]!;
-    await restart(path, name);
+  async #restartGateway(system: EndToEndSystem, name: string): Promise<void> {
+    const gateway = system.gatewayIps[system.gatewayNames.indexOf(name)]!;
+    await restart(system, name);
     this.#restarts.push({ gateway, at: performance.now() });
   }
 
-  async #restartAll(path: WholePath): Promise<void> {
-    await path.restartAll();
+  async #restartAll(system: EndToEndSystem): Promise<void> {
+    await system.restartAll();
     const at = performance.now();
-    for (const gateway of path.gatewayIps) {
+    for (const gateway of system.gatewayIps) {
       this.#restarts.push({ gateway, at });
     }
   }
@@ -118,63 +126,71 @@
     return values[Math.floor(this.#random() * values.length)]!;
   }
 
-  async #strike(troubles: Trouble[]): Promise<void> {
-    const gap = DAY_MILLISECONDS / (troubles.length + 1);
-    for (const { strike } of troubles) {
+  async #injectDisruptions(disruptions: Disruption[]): Promise<void> {
+    const gap = DAY_MILLISECONDS / (disruptions.length + 1);
+    for (const { inject } of disruptions) {
       await pause(gap * (0.5 + this.#random() * 0.5));
-      await strike(this.#path);
+      await inject(this.#system);
     }
   }
 
   /** Most requests go to the first gateways, a few to the last. */
   #drawGateway(): string {
-    const { gatewayIps } = this.#path;
+    const { gatewayIps } = this.#system;
     return gatewayIps[Math.floor(this.#random() ** 2 * gatewayIps.length)]!;
   }
 
-  async #sendOthers(): Promise<void> {
+  async #sendHarmlessRequests(): Promise<void> {
     const until = performance.now() + DAY_MILLISECONDS;
     while (performance.now() < until) {
-      const long = "x".repeat(this.#random() * LONG_BODY_BYTES);
-      const body = `${this.#sent} ${long}`;
-      this.#answers.push(this.#ask("other", this.#drawGateway(), body));
+      const padding = "x".repeat(this.#random() * MAX_BODY_BYTES);
+      const body = `${this.#sentRequests} ${padding}`;
+      this.#answers.push(this.#sendRequest("other", this.#drawGateway(), body));
       await pause(2_000 * this.#random() / REQUESTS_PER_SECOND);
     }
   }
 
-  /** In series, and now and then many at once. */
-  async #sendCrashing(): Promise<void> {
+  /** Sends crashing requests one by one, and sometimes four at once. */
+  async #sendCrashingRequests(): Promise<void> {
     const until = performance.now() + DAY_MILLISECONDS;
     await pause(2_000);
     while (performance.now() < until) {
-      const body = this.#pick(CRASHING);
+      const body = this.#pick(CRASH_BODIES);
       const copies = this.#random() < 0.15 ? 4 : 1;
       for (let copy = 0; copy < copies; copy += 1) {
-        this.#ask(`fault${CRASHING.indexOf(body)}`, this.#drawGateway(), body);
+        this.#sendRequest(
+          `fault${CRASH_BODIES.indexOf(body)}`,
+          this.#drawGateway(),
+          body,
+        );
       }
       await pause(300 + 900 * this.#random());
     }
   }
 
-  async #nameLimits(engine: StandInServer): Promise<void> {
+  async #setLimits(engine: FakeBackendServer): Promise<void> {
     await pause(2_500);
     for (let round = 0; round < 2; round += 1) {
       const perSecond = Math.round(5 + this.#random() * 35) / 10;
       const from = performance.now();
       engine.limitPerSecond = perSecond;
       await pause(8_000);
-      this.#limited.push({ perSecond, from, to: performance.now() });
+      this.#limitPeriods.push({ perSecond, from, to: performance.now() });
       engine.limitPerSecond = undefined;
       await pause(1_000);
     }
   }
 
-  async #ask(kind: string, gateway: string, body: string): Promise<Answer> {
-    this.#sent += 1;
-    const id = `${kind}-${this.#sent}`;
-    this.#gatewayAsked.set(id, gateway);
+  async #sendRequest(
+    kind: string,
+    gateway: string,
+    body: string,
+  ): Promise<Answer> {
+    this.#sentRequests += 1;
+    const id = `${kind}-${this.#sentRequests}`;
+    this.#gatewayByRequest.set(id, gateway);
     try {
-      const { status, text } = await this.#path.ask("/write/x", {
+      const { status, text } = await this.#system.sendRequest("/write/x", {
         id,
         gateway,
         method: "POST",
@@ -187,39 +203,41 @@
     }
   }
 
-  #figures(answers: Answer[], troubles: Trouble[]): DayFigures {
-    const engines = this.#path.engines;
+  #buildResult(answers: Answer[], disruptions: Disruption[]): DayResult {
+    const engines = this.#system.engines;
     const arrivals = engines.flatMap((engine) => engine.arrivals);
-    const ends = engines.flatMap((engine) => engine.ends);
-    const ofFault = (index: number) => (id: string | undefined) =>
+    const crashes = engines.flatMap((engine) => engine.crashRecords);
+    const isOfBody = (index: number) => (id: string | undefined) =>
       id?.startsWith(`fault${index}-`) ?? false;
-    const byFault = CRASHING.map((_, index) => ({
-      ends: ends.filter(({ id }) => ofFault(index)(id)).map(({ at }) => at)
+    const byBody = CRASH_BODIES.map((_, index) => ({
+      crashes: crashes.filter(({ id }) => isOfBody(index)(id)).map(({ at }) =>
+        at
+      )
         .sort((left, right) => left - right),
-      arrivals: arrivals.filter(({ id }) => ofFault(index)(id))
+      arrivals: arrivals.filter(({ id }) => isOfBody(index)(id))
         .map(({ at }) => at),
     }));
     const limitedArrivals = engines.at(-1)!.arrivals
-      .map(({ id, at }) => ({ at, gateway: this.#gatewayAsked.get(id)! }));
-    const limits = this.#limited.map((limited) => ({
-      most: mostWithin(
-        findBoundArrivals({
-          limited,
+      .map(({ id, at }) => ({ at, gateway: this.#gatewayByRequest.get(id)! }));
+    const limitResults = this.#limitPeriods.map((period) => ({
+      arrivals: countMostWithin(
+        findArrivalsUnderLimit({
+          period,
           arrivals: limitedArrivals,
           restarts: this.#restarts,
         }),
         WINDOW_MILLISECONDS,
       ),
-      allowed: 1.5 * limited.perSecond * WINDOW_MILLISECONDS / 1_000 + 5,
+      allowed: 1.5 * period.perSecond * WINDOW_MILLISECONDS / 1_000 + 5,
     }));
-    const worst = limits.sort((left, right) =>
-      right.most / right.allowed - left.most / left.allowed
+    const worst = limitResults.sort((left, right) =>
+      right.arrivals / right.allowed - left.arrivals / left.allowed
     )[0]!;
-    const whole = answers.filter(({ status }) => status === 200);
-    const figures = {
+    const completed = answers.filter(({ status }) => status === 200);
+    const result = {
       seed: this.#seed,
-      troubles: troubles.map(({ name }) => name),
-      served: whole.length,
+      disruptions: disruptions.map(({ name }) => name),
+      served: completed.length,
       refused: answers.filter(({ status }) => status === 503).length,
       broken:
         answers.filter(({ status, isBroken }) =>
@@ -229,34 +247,35 @@
         answers.filter(({ text }) =>
           text.includes("backend servers ended under it")
         ).length,
-      ends: byFault.map((fault) => fault.ends.length),
-      lateArrivals: byFault.map((fault) => countLate(fault)),
-      mostLimited: worst.most,
-      allowedLimited: worst.allowed,
+      crashes: byBody.map((history) => history.crashes.length),
+      lateArrivals: byBody.map((history) => countLate(history)),
+      maxLimitedArrivals: worst.arrivals,
+      allowedLimitedArrivals: worst.allowed,
       faults: [],
     };
-    const spoilt =
-      whole.filter(({ text }) =>
+    const incomplete =
+      completed.filter(({ text }) =>
         text.split("\n\n").length !== STREAM_EVENTS + 1
       ).length;
-    return { ...figures, faults: findDayFaults(figures, spoilt) };
+    return { ...result, faults: findDayFaults(result, incomplete) };
   }
 }
 
-/** Arrivals later than 3 s behind the third end under the same request. */
-function countLate(fault: { ends: number[]; arrivals: number[] }): number {
-  const third = fault.ends[2] ?? Infinity;
-  return fault.arrivals.filter((at) => at > third + TOLD_MILLISECONDS).length;
+/** Counts arrivals later than 3 s after the third crash under the request. */
+function countLate(history: { crashes: number[]; arrivals: number[] }): number {
+  const thirdCrash = history.crashes[2] ?? Infinity;
+  return history.arrivals.filter((at) => at > thirdCrash + TOLD_MILLISECONDS)
+    .length;
 }
 
-async function restart(path: WholePath, name: string): Promise<void> {
-  await path.platform.restart([name]);
+async function restart(system: EndToEndSystem, name: string): Promise<void> {
+  await system.cluster.restart([name]);
 }
 
-async function freeze(path: WholePath, name: string): Promise<void> {
-  const { child } = path.platform.find(name);
+async function freeze(system: EndToEndSystem, name: string): Promise<void> {
+  const { child } = system.cluster.findHost(name);
   child.signal("SIGSTOP");
-  await pause(OFF_MILLISECONDS);
+  await pause(FREEZE_MILLISECONDS);
   child.signal("SIGCONT");
 }
 
--- a/acceptance/src/incident_days.ts
+++ b/acceptance/src/incident_days.ts
@@ -1,27 +1,32 @@
 import process from "node:process";
 import { IncidentDay } from "./incident_day.ts";
 
-const [first = "1", count = "30"] = process.argv.slice(2);
+const [firstSeed = "1", count = "30"] = process.argv.slice(2);
 
-// Seeds from the first on, one day after the other; exits with 1 for a fault.
+// Runs one simulated day after another, one for each seed from the first on.
+// Exits with 1 if a day has faults.
 console.log(
   "seed served refused broken wrong-blame ends late limit troubles | faults",
 );
-let faulty = 0;
-for (let seed = Number(first); seed < Number(first) + Number(count); seed++) {
-  const day = await new IncidentDay(seed).play();
+let faultyDays = 0;
+for (
+  let seed = Number(firstSeed);
+  seed < Number(firstSeed) + Number(count);
+  seed++
+) {
+  const day = await new IncidentDay(seed).run();
   console.log(
     seed,
     day.served,
     day.refused,
     day.broken,
     day.wronglyBlamed,
-    day.ends.join("+"),
+    day.crashes.join("+"),
     day.lateArrivals.join("+"),
-    `${day.mostLimited}/${day.allowedLimited.toFixed(0)}`,
-    `${day.troubles.join(", ")} | ${day.faults.join("; ")}`,
+    `${day.maxLimitedArrivals}/${day.allowedLimitedArrivals.toFixed(0)}`,
+    `${day.disruptions.join(", ")} | ${day.faults.join("; ")}`,
   );
-  if (day.faults.length > 0) faulty += 1;
+  if (day.faults.length > 0) faultyDays += 1;
 }
-console.log(`${faulty} of ${count} days with faults`);
-process.exitCode = faulty > 0 ? 1 : 0;
+console.log(`${faultyDays} of ${count} days with faults`);
+process.exitCode = faultyDays > 0 ? 1 : 0;
--- a/acceptance/src/stand_in_platform.ts
+++ b/acceptance/src/loopback_cluster.ts
@@ -9,75 +9,81 @@
 const ROOT = join(dirname(fileURLToPath(import.meta.url)), "..", "..");
 const PROGRAM = join(ROOT, "target", "teaselrouterd.cjs");
 
-/** Second number of the first host's address; those below are in use. */
-const FIRST_HOST_NETWORK = 128;
+/** Second octet of the first host's address; lower ones are in use. */
+const FIRST_HOST_OCTET = 128;
 
 type Role = "control" | "gateway" | "stager";
 type Host = { name: string; ip: string; child: Child };
 
 /**
- * Starts the bundled program on loopback hosts, with settings rendered from
- * the deploy templates as the platform renders them.
+ * Runs the bundled daemon on hosts with loopback addresses. Renders the settings
+ * from the templates in deploy/ as the platform does.
  */
-export class StandInPlatform {
+export class LoopbackCluster {
   readonly folder = mkdtempSync(join(tmpdir(), "teaselrouter-platform-"));
   #hosts: Host[] = [];
-  #ports: { control: number; front: number; ready: number; inside: number } = {
+  #ports: {
+    control: number;
+    frontend: number;
+    ready: number;
+    internal: number;
+  } = {
     control: 0,
-    front: 0,
+    frontend: 0,
     ready: 0,
-    inside: 0,
+    internal: 0,
   };
   #ip = "";
   #seeds: string[] = [];
 
-  async prepare(controlHosts: number): Promise<void> {
+  /** Picks the ports and addresses of all hosts; must come before `start`. */
+  async allocateAddresses(controlHosts: number): Promise<void> {
     const addresses = await freeAddresses(5);
-    const [control, front, ready, inside] = addresses.map((address) =>
+    const [control, frontend, ready, internal] = addresses.map((address) =>
       Number(address.split(":")[1])
     );
     this.#ports = {
       control: control!,
-      front: front!,
+      frontend: frontend!,
       ready: ready!,
-      inside: inside!,
+      internal: internal!,
     };
     this.#ip = addresses[0]!.split(":")[0]!;
     this.#seeds = Array.from(
       { length: controlHosts },
-      (_, index) => `${this.ipOf(index)}:${control}`,
+      (_, index) => `${this.hostIp(index)}:${control}`,
     );
   }
 
   /**
-   * A loopback address of its own for each host, also beside other tests:
-   * some ports are the same on all.
+   * Loopback IP address of a host. Each host has its own, also while other tests
+   * run, because some ports are the same on all hosts.
    */
-  ipOf(index: number): string {
+  hostIp(index: number): string {
     const [first, , third, last] = this.#ip.split(".").map(Number);
-    return `${first}.${FIRST_HOST_NETWORK + index}.${third}.${last}`;
+    return `${first}.${FIRST_HOST_OCTET + index}.${third}.${last}`;
   }
 
-  get operations(): string[] {
+  get controlUrls(): string[] {
     return this.#seeds.map((seed) => `http://${seed}`);
   }
 
-  frontOf(ip: string): string {
-    return `http://${ip}:${this.#ports.front}`;
+  frontendUrl(ip: string): string {
+    return `http://${ip}:${this.#ports.frontend}`;
   }
 
-  readyOf(ip: string): string {
+  readinessUrl(ip: string): string {
     return `http://${ip}:${this.#ports.ready}/readyz`;
   }
 
   start(
     role: Role,
     index: number,
-    extra: Record<string, unknown> = {},
+    extraFields: Record<string, unknown> = {},
   ): Host {
-    const ip = this.ipOf(index);
+    const ip = this.hostIp(index);
     const name = `${role}-${index}`;
-    const { control, front, ready, inside } = this.#ports;
+    const { control, frontend, ready, internal } = this.#ports;
     const text = renderTemplate(
       readFileSync(join(ROOT, "deploy", `${role}.toml`), "utf8"),
       {
@@ -85,18 +91,18 @@
         zone: "here",
         ip,
         listen: {
-          frontend: `${ip}:${front}`,
+          frontend: `${ip}:${frontend}`,
           ready: `${ip}:${ready}`,
           controlPlane: `${ip}:${control}`,
         },
-        internalPorts: [inside, inside + 1],
+        internalPorts: [internal, internal + 1],
         seeds: this.#seeds,
         bootstrap: true,
         dataDir: join(this.folder, name),
         faultTolerance: { machines: 1 },
         limits: { linkMbps: 100 },
         bounds: { graceS: 8, version_ms: 8_000 },
-        ...extra,
+        ...extraFields,
       },
     );
     const settings = join(this.folder, `${name}.toml`);
@@ -112,20 +118,20 @@
     return host;
   }
 
-  /** Ends hosts without a word and starts them anew with the same settings. */
+  /** Kills hosts and starts them again on the same data and addresses. */
   async restart(names: string[]): Promise<void> {
-    const ended = names.map((name) => this.find(name));
-    for (const { child } of ended) child.signal("SIGKILL");
-    await Promise.all(ended.map(({ child }) => child.exited));
-    this.#hosts = this.#hosts.filter((host) => !ended.includes(host));
+    const killed = names.map((name) => this.findHost(name));
+    for (const { child } of killed) child.signal("SIGKILL");
+    await Promise.all(killed.map(({ child }) => child.exited));
+    this.#hosts = this.#hosts.filter((host) => !killed.includes(host));
     for (const name of names) {
       const [role, index] = name.split("-");
       this.start(role as Role, Number(index), { bootstrap: false });
     }
   }
 
-  find(name: string): Host {
-    const host = this.#hosts.find((known) => known.name === name);
+  findHost(name: string): Host {
+    const host = this.#hosts.find((candidate) => candidate.name === name);
     if (host === undefined) throw new Error(`no host ${name} was started`);
     return host;
   }
