--- a/packages/daemon/src/transport/ask_whether_ended.ts
+++ b/packages/daemon/src/transport/ask_whether_ended.ts
@@ -1,12 +1,16 @@
 import { createConnection } from "node:net";
 import { splitAddress } from "./split_address.ts";
 
-/** Well above the way there and back; without an answer nothing is known. */
-const ASK_MILLISECONDS = 150;
+/**
+ * Well above a round trip. When it passes without a reply, the state of the
+ * process is unknown.
+ */
+const PROBE_TIMEOUT_MILLISECONDS = 150;
 
 /**
- * Whether the process that listened at an address has ended. Only a refused
- * connection shows it: a host that is cut off or dark says nothing.
+ * Finds out whether the process that listened at `address` has ended, by
+ * connecting to that address. Only a refused connection means "ended": a host
+ * that is partitioned or powered off sends no reply, which means "unknown".
  */
 export function askWhetherEnded(
   address: string,
@@ -14,16 +18,16 @@
   return new Promise((resolve) => {
     const socket = createConnection({
       ...splitAddress(address),
-      timeout: ASK_MILLISECONDS,
+      timeout: PROBE_TIMEOUT_MILLISECONDS,
     });
-    const settle = (answer: "ended" | "alive" | "unknown") => {
-      resolve(answer);
+    const finish = (result: "ended" | "alive" | "unknown") => {
+      resolve(result);
       socket.destroy();
     };
-    socket.once("connect", () => settle("alive"));
-    socket.once("timeout", () => settle("unknown"));
+    socket.once("connect", () => finish("alive"));
+    socket.once("timeout", () => finish("unknown"));
     socket.once("error", (error: { code?: string }) => {
-      settle(error.code === "ECONNREFUSED" ? "ended" : "unknown");
+      finish(error.code === "ECONNREFUSED" ? "ended" : "unknown");
     });
   });
 }
--- a/packages/daemon/src/transport/client_pool.ts
+++ b/packages/daemon/src/transport/client_pool.ts
@@ -4,20 +4,23 @@
   createConnectTransport,
   Http2SessionManager,
 } from "@connectrpc/connect-node";
-import { COMPRESSED_BYTES } from "./compressed_bytes.ts";
+import { MIN_COMPRESSED_BYTES } from "./min_compressed_bytes.ts";
 
 const PING_INTERVAL_MILLISECONDS = 2_000;
 const PING_TIMEOUT_MILLISECONDS = 1_500;
-const IDLE_MILLISECONDS = 60_000;
+const IDLE_TIMEOUT_MILLISECONDS = 60_000;
 
 type Connection = { manager: Http2SessionManager; transport: Transport };
 
-/** One HTTP/2 connection to each other process. */
+/** Keeps one HTTP/2 connection to each other process, opened on first use. */
 export class ClientPool {
   #connections = new Map<string, Connection>();
   #dial: Record<string, string>;
 
-  /** `dial` gives other addresses to dial, for port forwards. */
+  /**
+   * @param dial addresses to connect to instead, by the address that callers
+   * use; for port forwarding.
+   */
   constructor(dial: Record<string, string> = {}) {
     this.#dial = dial;
   }
@@ -35,14 +38,16 @@
   }
 
   /**
-   * Lets go of a connection that went silent, so that the next call opens a
-   * new one: something between the ends may have lost track of the old one
-   * for good, while new ones work. Calls on the old one are left to end.
+   * Removes a connection that has gone silent from the pool, so that the next
+   * call opens a new one: a network device on the path may have lost the old
+   * connection's state for good, while new connections work. Calls in flight
+   * on the old connection are not aborted.
    */
   renew(address: string): void {
     this.#connections.delete(address);
   }
 
+  /** Aborts the pooled connections with all their calls. */
   close(): void {
     for (const { manager } of this.#connections.values()) manager.abort();
     this.#connections.clear();
@@ -55,14 +60,14 @@
     pingIntervalMs: PING_INTERVAL_MILLISECONDS,
     pingTimeoutMs: PING_TIMEOUT_MILLISECONDS,
     pingIdleConnection: false,
-    idleConnectionTimeoutMs: IDLE_MILLISECONDS,
+    idleConnectionTimeoutMs: IDLE_TIMEOUT_MILLISECONDS,
   });
   const transport = createConnectTransport({
     baseUrl,
     httpVersion: "2",
     sessionManager: manager,
     useBinaryFormat: true,
-    compressMinBytes: COMPRESSED_BYTES,
+    compressMinBytes: MIN_COMPRESSED_BYTES,
   });
   return { manager, transport };
 }
--- a/packages/daemon/src/transport/decode_backend.ts
+++ b/packages/daemon/src/transport/decode_backend.ts
@@ -1,7 +1,7 @@
 import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
 import { type Backend, BackendState } from "@teaselrouter/messages/follow.ts";
 
-/** Reads a standing that another process passed on. */
+/** Decodes a backend server's status as another process forwarded it. */
 export function decodeBackend(backend: Backend): BackendStanding {
   return {
     instance: backend.instance,
@@ -9,7 +9,7 @@
     address: backend.address,
     dataCentre: backend.dataCentre,
     slots: backend.slots,
-    state: stateOf(backend.state),
+    state: decodeState(backend.state),
     bornAt: backend.bornAt,
     sequence: backend.sequence,
     coldMilliseconds: backend.coldMilliseconds,
@@ -17,7 +17,7 @@
   };
 }
 
-function stateOf(state: BackendState): BackendStanding["state"] {
+function decodeState(state: BackendState): BackendStanding["state"] {
   if (state === BackendState.READY) return "ready";
   return state === BackendState.LEAVING ? "leaving" : "gone";
 }
--- a/packages/daemon/src/transport/decode_crash_report.ts
+++ b/packages/daemon/src/transport/decode_crash_report.ts
@@ -1,7 +1,7 @@
 import type { CrashReport } from "@teaselrouter/core/crashes/crash_report.ts";
 import type { CrashReport as CrashReportMessage } from "@teaselrouter/messages/follow.ts";
 
-/** Reads a report that another process wrote. */
+/** Decodes a crash report from another process. */
 export function decodeCrashReport(message: CrashReportMessage): CrashReport {
   const { fingerprint, incarnation, begunMilliseconds } = message;
   return {
--- a/packages/daemon/src/transport/decode_limit.ts
+++ b/packages/daemon/src/transport/decode_limit.ts
@@ -1,13 +1,16 @@
 import type { NamedLimit } from "@teaselrouter/core/named_limits/named_limit.ts";
 
-type Encoded = {
+type EncodedLimit = {
   incarnation: string;
   perSecond: number;
   saidAgeMilliseconds: number;
 };
 
-/** Reads a named limit that another process wrote; the way is left out. */
-export function decodeLimit(encoded: Encoded, now: number): NamedLimit {
+/**
+ * Decodes a named limit from another process. Its age is counted back from
+ * `now`, the local monotonic time, and so ignores the time in transit.
+ */
+export function decodeLimit(encoded: EncodedLimit, now: number): NamedLimit {
   const { incarnation, perSecond, saidAgeMilliseconds } = encoded;
   return {
     incarnation,
--- a/packages/daemon/src/transport/encode_backend.ts
+++ b/packages/daemon/src/transport/encode_backend.ts
@@ -3,16 +3,16 @@
 import type { Backend } from "@teaselrouter/messages/follow.ts";
 import { BackendSchema, BackendState } from "@teaselrouter/messages/follow.ts";
 
-const STATES = {
+const MESSAGE_STATES = {
   ready: BackendState.READY,
   leaving: BackendState.LEAVING,
   gone: BackendState.GONE,
 } as const;
 
-/** Writes a standing for the way between processes. */
+/** Encodes a backend server's status for another process. */
 export function encodeBackend(standing: BackendStanding): Backend {
   return create(BackendSchema, {
     ...standing,
-    state: STATES[standing.state],
+    state: MESSAGE_STATES[standing.state],
   });
 }
--- a/packages/daemon/src/transport/encode_blame.ts
+++ b/packages/daemon/src/transport/encode_blame.ts
@@ -5,7 +5,10 @@
   BlamedRequestSchema,
 } from "@teaselrouter/messages/follow.ts";
 
-/** Writes a blame for the way between processes, whose clocks differ. */
+/**
+ * Encodes a blame for another process. The end of its term is sent as the time
+ * left, as monotonic clocks of different processes can't be compared.
+ */
 export function encodeBlame(blame: Blame, now: number): BlamedRequest {
   return create(BlamedRequestSchema, {
     ...blame,
--- a/packages/daemon/src/transport/encode_crash_report.ts
+++ b/packages/daemon/src/transport/encode_crash_report.ts
@@ -5,13 +5,13 @@
   CrashReportSchema,
 } from "@teaselrouter/messages/follow.ts";
 
-/** Stands for an answer that had not begun. */
-const NOT_BEGUN = -1;
+/** On the wire: the answer had not begun when the backend server ended. */
+const ANSWER_NOT_BEGUN = -1;
 
-/** Writes a report for the way between processes. */
+/** Encodes a crash report for another process. */
 export function encodeCrashReport(report: CrashReport): CrashReportMessage {
   return create(CrashReportSchema, {
     ...report,
-    begunMilliseconds: report.begunMilliseconds ?? NOT_BEGUN,
+    begunMilliseconds: report.begunMilliseconds ?? ANSWER_NOT_BEGUN,
   });
 }
--- a/packages/daemon/src/transport/encode_limit.ts
+++ b/packages/daemon/src/transport/encode_limit.ts
@@ -1,16 +1,19 @@
 import type { NamedLimit } from "@teaselrouter/core/named_limits/named_limit.ts";
 
-/** Stands for a limit that is named no more. */
-const NONE = -1;
+/** On the wire: the backend server no longer names a limit. */
+const NO_LIMIT = -1;
 
-/** Writes a named limit for the way between processes, whose clocks differ. */
+/**
+ * Encodes a named limit for another process. The time at which it was named is
+ * sent as an age, as monotonic clocks of different processes can't be compared.
+ */
 export function encodeLimit(
   { incarnation, perSecond, saidAt }: NamedLimit,
   now: number,
 ) {
   return {
     incarnation,
-    perSecond: perSecond ?? NONE,
+    perSecond: perSecond ?? NO_LIMIT,
     saidAgeMilliseconds: now - saidAt,
   };
 }
--- a/packages/daemon/src/transport/entry_links.ts
+++ b/packages/daemon/src/transport/entry_links.ts
@@ -16,45 +16,49 @@
 import { toAsyncIterable } from "./to_async_iterable.ts";
 import { monotonicMilliseconds } from "./monotonic_milliseconds.ts";
 
-const BEAT_MILLISECONDS = 500;
-const SILENT_MILLISECONDS = 3_000;
-const RECONNECT_MILLISECONDS = 200;
-/** How often a link that waits for its turn looks whether it has come. */
-const TURN_MILLISECONDS = 40;
+const BEAT_INTERVAL_MILLISECONDS = 500;
+const SILENCE_TIMEOUT_MILLISECONDS = 3_000;
+const RECONNECT_DELAY_MILLISECONDS = 200;
+/** How often a closed link checks whether it may open its stream. */
+const OPEN_POLL_MILLISECONDS = 40;
 
-type Body = MessageInitShape<typeof AgentToEntrySchema>["body"];
+type MessageBody = MessageInitShape<typeof AgentToEntrySchema>["body"];
 
 type Link = {
   address: string;
+  /** Undefined unless a stream is open or being opened. */
   outgoing: Subject<AgentToEntry> | undefined;
-  /** Ends the stream that is open or being opened. */
+  /** Aborts the stream that is open or being opened. */
   stop: AbortController;
+  /** When the stream was last opened, monotonic milliseconds. */
   openedAt: number;
-  heardAt: number;
-  /** Known from the entry host's heartbeats. */
+  /** Last message on the stream, or its opening; monotonic milliseconds. */
+  lastMessageAt: number;
+  /** Name from the entry host's heartbeats; empty before the first one. */
   host: string;
+  /** From the entry host's heartbeats. */
   dataCentre: string;
-  /** It is not among the hosts any more. */
-  isLeft: boolean;
+  /** The address has been removed; the link doesn't reconnect. */
+  isRemoved: boolean;
 };
 
-function newLink(address: string): Link {
+function createLink(address: string): Link {
   return {
     address,
     outgoing: undefined,
     stop: new AbortController(),
     openedAt: 0,
-    heardAt: 0,
+    lastMessageAt: 0,
     host: "",
     dataCentre: "",
-    isLeft: false,
+    isRemoved: false,
   };
 }
 
-function inRandomOrder(addresses: string[]): string[] {
+function shuffle(addresses: string[]): string[] {
   return addresses
-    .map((address) => ({ address, place: Math.random() }))
-    .sort((left, right) => left.place - right.place)
+    .map((address) => ({ address, rank: Math.random() }))
+    .sort((left, right) => left.rank - right.rank)
     .map(({ address }) => address);
 }
 
@@ -63,52 +67,68 @@
   dataCentre: string;
   clients: ClientPool;
   ring: TimelineRing;
-  /** What a new connection is told first. */
-  greet: (address: string) => Body[];
-  /** What every connection is told at a beat; undefined for nothing new. */
-  beat: () => Body | undefined;
-  /** With nothing new to say, every so many beats show life. */
+  /** First messages on a new stream to `address`. */
+  greet: (address: string) => MessageBody[];
+  /**
+   * Message to every entry host, asked for at each beat of 500 ms; undefined
+   * when nothing has changed.
+   */
+  beat: () => MessageBody | undefined;
+  /** While nothing changes, every how many beats a heartbeat is sent. */
   quietBeats: number;
-  /** Whether a host of another data centre may plan where none is near. */
+  /**
+   * Whether an entry host of another data centre may be the coordinator while
+   * none of this data centre is connected. False by default.
+   */
   takesFarPlans?: boolean;
 };
 
-/** This agent's streams to the entry hosts. */
+/**
+ * An agent's streams to the entry hosts. Streams that end or fall silent are
+ * opened again. A stager has its streams to the control hosts through this
+ * class too; for it, "entry host" reads "control host".
+ */
 export class EntryLinks {
   readonly incoming$ = new Subject<
     { address: string; message: EntryToAgent }
   >();
-  /** Another entry host now plans for this agent. */
+  /** `coordinator` has changed. */
   readonly coordinatorChanged$ = new Subject<void>();
   #options: Options;
   #links: Link[];
   #coordinator = "";
-  #quietBeats = 0;
+  #beatsWithoutMessage = 0;
   #stopped = false;
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
     this.#options = options;
-    this.#links = inRandomOrder(options.addresses).map(newLink);
+    this.#links = shuffle(options.addresses).map(createLink);
   }
 
   start(): void {
-    this.#timer = setInterval(() => this.#beat(), BEAT_MILLISECONDS);
+    this.#timer = setInterval(
+      () => this.#sendBeat(),
+      BEAT_INTERVAL_MILLISECONDS,
+    );
     for (const link of this.#links) this.#run(link);
   }
 
-  /** Turns to the hosts that there are now. */
+  /**
+   * Opens links to addresses that are new and aborts those to addresses that
+   * are no longer listed. An empty list is ignored.
+   */
   setAddresses(addresses: string[]): void {
     if (this.#stopped || addresses.length === 0) return;
     for (const link of this.#links) {
       if (addresses.includes(link.address)) continue;
-      link.isLeft = true;
+      link.isRemoved = true;
       link.stop.abort();
     }
-    this.#links = this.#links.filter((link) => !link.isLeft);
+    this.#links = this.#links.filter((link) => !link.isRemoved);
     for (const address of addresses) {
       if (this.#links.some((link) => link.address === address)) continue;
-      const link = newLink(address);
+      const link = createLink(address);
       this.#links.push(link);
       this.#run(link);
     }
@@ -123,12 +143,16 @@
     }
   }
 
-  /** Address of the entry host whose plans are followed; empty for none. */
+  /**
+   * Address of the entry host whose plans for fetching weights this agent
+   * follows; empty for none.
+   */
   get coordinator(): string {
     return this.#coordinator;
   }
 
-  send(address: string, body: Body): void {
+  /** Drops the message if no stream to `address` is open or being opened. */
+  send(address: string, body: MessageBody): void {
     const link = this.#links.find((known) => known.address === address);
     if (link?.outgoing === undefined) return;
     const clock = this.#options.ring.now(Date.now());
@@ -139,28 +163,34 @@
     }));
   }
 
-  /** `bodyFor` gives nothing for a host that need not be told. */
-  broadcast(bodyFor: (address: string) => Body | undefined): void {
+  /**
+   * Sends a message on every stream. `bodyFor` returns undefined for an entry
+   * host that gets none.
+   */
+  broadcast(bodyFor: (address: string) => MessageBody | undefined): void {
     for (const { address, outgoing } of this.#links) {
       const body = outgoing && bodyFor(address);
       if (body !== undefined) this.send(address, body);
     }
   }
 
-  /** A connected entry host, for a question that any can answer. */
+  /**
+   * Address for a message that any entry host can handle: the coordinator's, or
+   * else one to which a stream is open or being opened; undefined for none.
+   */
   get anyConnected(): string | undefined {
     return this.#coordinator ||
       this.#links.find((link) => link.outgoing !== undefined)?.address;
   }
 
   async #run(link: Link): Promise<void> {
-    while (!this.#stopped && !link.isLeft) {
+    while (!this.#stopped && !link.isRemoved) {
       if (!this.#mayOpenNext()) {
-        await pause(TURN_MILLISECONDS);
+        await pause(OPEN_POLL_MILLISECONDS);
         continue;
       }
       await this.#connect(link);
-      if (!this.#stopped) await pause(RECONNECT_MILLISECONDS);
+      if (!this.#stopped) await pause(RECONNECT_DELAY_MILLISECONDS);
     }
   }
 
@@ -175,8 +205,8 @@
     const { clients, greet } = this.#options;
     const outgoing = new Subject<AgentToEntry>();
     link.stop = new AbortController();
-    link.heardAt = monotonicMilliseconds();
-    link.openedAt = link.heardAt;
+    link.lastMessageAt = monotonicMilliseconds();
+    link.openedAt = link.lastMessageAt;
     const client = clients.client(AgentService, link.address);
     try {
       const incoming = client.session(toAsyncIterable(outgoing), {
@@ -184,7 +214,7 @@
       });
       link.outgoing = outgoing;
       for (const body of greet(link.address)) this.send(link.address, body);
-      for await (const message of incoming) this.#take(link, message);
+      for await (const message of incoming) this.#handleMessage(link, message);
     } catch {
       clients.renew(link.address);
     } finally {
@@ -195,8 +225,8 @@
     }
   }
 
-  #take(link: Link, message: EntryToAgent): void {
-    link.heardAt = monotonicMilliseconds();
+  #handleMessage(link: Link, message: EntryToAgent): void {
+    link.lastMessageAt = monotonicMilliseconds();
     this.#options.ring.observe(Date.now(), {
       time: message.clockTime,
       counter: message.clockCounter,
@@ -214,35 +244,40 @@
   }
 
   /**
-   * All agents of a data centre that reach the same entry hosts choose the
-   * same one, without a word between the entry hosts; when it is gone they
-   * all turn to the next.
+   * Rendezvous hashing by data centre: all its agents that reach the same entry
+   * hosts choose the same coordinator without any message between the entry
+   * hosts, and when it is lost they all choose the same next one.
    */
   #chooseCoordinator(): void {
     const { dataCentre, takesFarPlans } = this.#options;
     const connected = this.#links.filter((link) => link.host !== "");
-    const near = connected.filter((link) => link.dataCentre === dataCentre);
-    const choices = near.length === 0 && takesFarPlans ? connected : near;
-    const owner = rendezvousOwner(dataCentre, choices.map(({ host }) => host));
-    const chosen = choices.find(({ host }) => host === owner)?.address ?? "";
+    const local = connected.filter((link) => link.dataCentre === dataCentre);
+    const candidates = local.length === 0 && takesFarPlans ? connected : local;
+    const owner = rendezvousOwner(
+      dataCentre,
+      candidates.map(({ host }) => host),
+    );
+    const chosen = candidates.find(({ host }) => host === owner)?.address ?? "";
     if (chosen === this.#coordinator) return;
     this.#coordinator = chosen;
     this.coordinatorChanged$.next();
   }
 
-  #dropSilent(): void {
+  #abortSilent(): void {
     const now = monotonicMilliseconds();
-    for (const { heardAt, stop } of this.#links) {
-      if (now - heardAt > SILENT_MILLISECONDS) stop.abort();
+    for (const { lastMessageAt, stop } of this.#links) {
+      if (now - lastMessageAt > SILENCE_TIMEOUT_MILLISECONDS) stop.abort();
     }
   }
 
-  #beat(): void {
-    this.#dropSilent();
+  #sendBeat(): void {
+    this.#abortSilent();
     const body = this.#options.beat();
-    this.#quietBeats = body === undefined ? this.#quietBeats + 1 : 0;
+    this.#beatsWithoutMessage = body === undefined
+      ? this.#beatsWithoutMessage + 1
+      : 0;
     if (body !== undefined) return this.broadcast(() => body);
-    if (this.#quietBeats % this.#options.quietBeats === 0) {
+    if (this.#beatsWithoutMessage % this.#options.quietBeats === 0) {
       this.broadcast(() => ({ case: "heartbeat", value: {} }));
     }
   }
--- a/packages/daemon/src/transport/follow_link.ts
+++ b/packages/daemon/src/transport/follow_link.ts
@@ -15,47 +15,54 @@
 import type { EventLog } from "../log/event_log.ts";
 import type { ClientPool } from "./client_pool.ts";
 import { monotonicMilliseconds } from "./monotonic_milliseconds.ts";
-import type { News } from "./news.ts";
+import type { FollowerUpdate } from "./follower_update.ts";
 import { pause } from "./pause.ts";
 import { toAsyncIterable } from "./to_async_iterable.ts";
 
-const HEARTBEAT_MILLISECONDS = 1_000;
-/** Three of the other side's heartbeats: the connection may be dead. */
-const SILENT_MILLISECONDS = 1_200;
+const HEARTBEAT_INTERVAL_MILLISECONDS = 1_000;
+/** Three heartbeat intervals of the control host: the connection may be dead. */
+const SILENCE_TIMEOUT_MILLISECONDS = 1_200;
 /**
- * Until the first word on a new stream. A control host that has just started
- * takes in streams one after the other; to begin anew meanwhile would put
- * this one behind all others, and the work done for it would be lost.
+ * Wait for the first message on a new stream. A control host that has just
+ * started sets up streams one after the other. Reopening a stream meanwhile
+ * would waste the work done for it and queue it behind all others.
  */
-const OPENING_MILLISECONDS = 2_000;
-const RECONNECT_MILLISECONDS = 200;
+const FIRST_MESSAGE_TIMEOUT_MILLISECONDS = 2_000;
+const RECONNECT_DELAY_MILLISECONDS = 200;
 
 type Options = {
   address: string;
   hello: { host: string; dataCentre: string; isControl: boolean };
   clients: ClientPool;
   log: EventLog;
-  /** Whether this control host is to tell the engines' loads. */
+  /** Whether this control host is the one to send the engines' loads. */
   wantsLoads: () => boolean;
-  /** What this host has to tell one that may know nothing; undefined: naught. */
-  standingNews: () => News | undefined;
+  /**
+   * Update for a control host that may know nothing yet, sent on each new
+   * stream; undefined for none.
+   */
+  initialUpdate: () => FollowerUpdate | undefined;
 };
 
 /**
- * Follows one control host for as long as it is not stopped: a stream that
- * ends or falls silent is opened anew on a new connection.
+ * Follows one control host until `stop` is called. A stream that ends or falls
+ * silent is replaced by a new one on a new connection.
  */
 export class FollowLink {
+  /** Received from the control host. */
   readonly updates$ = new Subject<ControlUpdate>();
   readonly address: string;
-  /** Of this host, for the control host. */
-  #news$ = new Subject<News>();
+  /** Updates from this host to the control host. */
+  #ownUpdates$ = new Subject<FollowerUpdate>();
   #options: Options;
   #connected = false;
   #dataCentre = "";
-  #heardAt = -Infinity;
+  #lastMessageAt = -Infinity;
   #stop = new AbortController();
-  /** Of the stream that is open or being opened. */
+  /**
+   * The stream that is open or being opened; `openedAt` in monotonic
+   * milliseconds.
+   */
   #stream = { stop: new AbortController(), openedAt: -Infinity };
 
   constructor(options: Options) {
@@ -63,18 +70,25 @@
     this.address = options.address;
   }
 
+  /** Whether a message has arrived on the current stream. */
   get isConnected(): boolean {
     return this.#connected;
   }
 
-  /** Where this control host says that it is; empty before it has. */
+  /**
+   * The data centre in the control host's heartbeats; empty before the first
+   * one.
+   */
   get dataCentre(): string {
     return this.#dataCentre;
   }
 
-  /** When this control host was last heard, monotonic milliseconds. */
-  get heardAt(): number {
-    return this.#heardAt;
+  /**
+   * When the last message from the control host arrived, monotonic
+   * milliseconds; -Infinity before the first one.
+   */
+  get lastMessageAt(): number {
+    return this.#lastMessageAt;
   }
 
   start(): void {
@@ -86,24 +100,26 @@
     this.#stream.stop.abort();
   }
 
-  /** Tells the control host, if it is there now. */
-  tell(news: News): void {
-    this.#news$.next(news);
+  /** Sends an update; it is dropped while no stream is open or being opened. */
+  send(update: FollowerUpdate): void {
+    this.#ownUpdates$.next(update);
   }
 
-  /** Ends a stream on which nothing comes any more; called at short intervals. */
-  dropSilent(): void {
+  /** Aborts a stream that has gone silent; to be called at short intervals. */
+  abortIfSilent(): void {
     const { openedAt, stop } = this.#stream;
-    const isOpening = this.#heardAt < openedAt;
-    const since = isOpening ? openedAt : this.#heardAt;
-    const limit = isOpening ? OPENING_MILLISECONDS : SILENT_MILLISECONDS;
+    const isOpening = this.#lastMessageAt < openedAt;
+    const since = isOpening ? openedAt : this.#lastMessageAt;
+    const limit = isOpening
+      ? FIRST_MESSAGE_TIMEOUT_MILLISECONDS
+      : SILENCE_TIMEOUT_MILLISECONDS;
     if (monotonicMilliseconds() - since > limit) stop.abort();
   }
 
   async #run(): Promise<void> {
     while (!this.#stop.signal.aborted) {
       await this.#follow();
-      await pause(RECONNECT_MILLISECONDS);
+      await pause(RECONNECT_DELAY_MILLISECONDS);
     }
   }
 
@@ -117,7 +133,7 @@
         toAsyncIterable(this.#outgoing()),
         { signal: stop.signal },
       );
-      for await (const update of updates) this.#take(update);
+      for await (const update of updates) this.#handleUpdate(update);
     } catch (error) {
       reason = error instanceof Error ? error.message : String(error);
     }
@@ -130,7 +146,7 @@
     const hello = create(FollowerToControlSchema, {
       body: { case: "hello", value: this.#options.hello },
     });
-    const heartbeats$ = interval(HEARTBEAT_MILLISECONDS).pipe(
+    const heartbeats$ = interval(HEARTBEAT_INTERVAL_MILLISECONDS).pipe(
       map(() =>
         create(FollowerToControlSchema, {
           body: {
@@ -140,14 +156,16 @@
         })
       ),
     );
-    const standing = this.#options.standingNews();
-    const first = standing === undefined ? [] : [encodeNews(standing)];
-    return merge(heartbeats$, this.#news$.pipe(map(encodeNews)))
-      .pipe(startWith(hello, ...first));
+    const initial = this.#options.initialUpdate();
+    const initialMessages = initial === undefined
+      ? []
+      : [createUpdateMessage(initial)];
+    return merge(heartbeats$, this.#ownUpdates$.pipe(map(createUpdateMessage)))
+      .pipe(startWith(hello, ...initialMessages));
   }
 
-  #take(update: ControlUpdate): void {
-    this.#heardAt = monotonicMilliseconds();
+  #handleUpdate(update: ControlUpdate): void {
+    this.#lastMessageAt = monotonicMilliseconds();
     if (!this.#connected) {
       this.#connected = true;
       this.#options.log.info("control-host-followed", {
@@ -165,6 +183,6 @@
   typeof create<typeof FollowerToControlSchema>
 >;
 
-function encodeNews(body: News): MessageToControl {
+function createUpdateMessage(body: FollowerUpdate): MessageToControl {
   return create(FollowerToControlSchema, { body });
 }
--- a/packages/daemon/src/transport/follow_set.ts
+++ b/packages/daemon/src/transport/follow_set.ts
@@ -6,44 +6,56 @@
 import type { ClientPool } from "./client_pool.ts";
 import { FollowLink } from "./follow_link.ts";
 import { monotonicMilliseconds } from "./monotonic_milliseconds.ts";
-import type { News } from "./news.ts";
+import type { FollowerUpdate } from "./follower_update.ts";
 
-/** Several times in what counts as silence of a control host. */
-const REVIEW_MILLISECONDS = 200;
-/** A host that can't be reached for so long is left for another, if any. */
-const UNREACHED_MILLISECONDS = 2_500;
+/**
+ * Several reviews fit into the silence timeout of a stream to a control host.
+ */
+const REVIEW_INTERVAL_MILLISECONDS = 200;
+/**
+ * A control host that has sent nothing for so long is replaced by another one,
+ * if there is one.
+ */
+const UNREACHABLE_TIMEOUT_MILLISECONDS = 2_500;
 
-/** Others are tried for so long before one that could not be reached. */
-const REST_MILLISECONDS = 5_000;
+/**
+ * Once a control host has been replaced as unreachable, others are preferred to
+ * it for so long.
+ */
+const RETRY_DELAY_MILLISECONDS = 5_000;
 
 type Options = {
   hello: { host: string; dataCentre: string; isControl: boolean };
-  /** Own address, never followed; empty for none. */
+  /** Own address, which is never followed; empty for none. */
   selfAddress: string;
-  /** Control hosts known from the settings. */
+  /** Addresses of control hosts from the settings. */
   seeds: string[];
-  /** How many are followed at once. */
+  /** Maximum number of control hosts to follow at once. */
   most: number;
   clients: ClientPool;
   log: EventLog;
-  /** What this host tells a control host that it turns to. */
-  standingNews?: () => News | undefined;
+  /**
+   * Update for a control host that may know nothing yet, sent on each new
+   * stream; undefined for none.
+   */
+  standingNews?: () => FollowerUpdate | undefined;
 };
 
 /**
- * Follows some control hosts at once, so that what any of them knows arrives
- * by the quickest way, and the loss of one is not even noticed. Which ones is
- * drawn by rendezvous, so that followers are spread over the hosts.
+ * Follows several control hosts at once, so that each update arrives from the
+ * fastest of them and the loss of one interrupts nothing. They are chosen by
+ * rendezvous hashing, which spreads the followers over the control hosts.
  */
 export class FollowSet {
+  /** From all followed control hosts; `address` is the sender's. */
   readonly updates$ = new Subject<
     { address: string; update: ControlUpdate }
   >();
   #options: Options;
   #seeds: string[];
-  #known: string[] = [];
+  #knownAddresses: string[] = [];
   #links = new Map<string, { link: FollowLink; openedAt: number }>();
-  #restUntil = new Map<string, number>();
+  #retryAt = new Map<string, number>();
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
@@ -53,7 +65,10 @@
 
   start(): void {
     this.#review();
-    this.#timer = setInterval(() => this.#review(), REVIEW_MILLISECONDS);
+    this.#timer = setInterval(
+      () => this.#review(),
+      REVIEW_INTERVAL_MILLISECONDS,
+    );
   }
 
   stop(): void {
@@ -61,73 +76,84 @@
     for (const { link } of this.#links.values()) link.stop();
   }
 
-  /** How many control hosts are heard now. */
+  /** Number of control hosts that have sent a message on the current stream. */
   get connected(): number {
     return [...this.#links.values()].filter(({ link }) => link.isConnected)
       .length;
   }
 
-  /** The settings name these now. */
+  /**
+   * Replaces the addresses from the settings, after a reload. An empty list is
+   * ignored.
+   */
   setSeeds(seeds: string[]): void {
     if (seeds.length > 0) this.#seeds = seeds;
   }
 
-  /** Tells all control hosts that are followed. */
-  tell(news: News): void {
-    for (const { link } of this.#links.values()) link.tell(news);
+  /** Sends an update to all control hosts that are followed. */
+  tell(update: FollowerUpdate): void {
+    for (const { link } of this.#links.values()) link.send(update);
   }
 
-  /** The control hosts that one of them knows. */
+  /**
+   * Replaces the control hosts' addresses by those that one of the control
+   * hosts has sent. An empty list is ignored.
+   */
   learn(addresses: string[]): void {
     if (addresses.length === 0) return;
-    this.#known = addresses;
+    this.#knownAddresses = addresses;
     this.#review();
   }
 
   /**
-   * The one control host to hear the engines' loads from, a near one if there
-   * is any: loads change all the time, and every host knows the same.
+   * The connected control host that is to send the engines' loads, one of this
+   * data centre if there is any. One is enough: loads change constantly, and
+   * every control host has the same ones.
    */
-  get #loadsAddress(): string {
+  get #loadSourceAddress(): string {
     const { host, dataCentre } = this.#options.hello;
     const connected = [...this.#links.values()]
       .map(({ link }) => link)
       .filter(({ isConnected }) => isConnected);
-    const near = connected.filter((link) => link.dataCentre === dataCentre);
-    const choices = near.length > 0 ? near : connected;
+    const local = connected.filter((link) => link.dataCentre === dataCentre);
+    const choices = local.length > 0 ? local : connected;
     return rendezvousOwner(host, choices.map(({ address }) => address));
   }
 
   #candidates(): string[] {
     const { selfAddress } = this.#options;
-    // With none of the known ones reached, the settings may know better.
-    const all = this.connected > 0 && this.#known.length > 0
-      ? this.#known
-      : [...this.#known, ...this.#seeds];
+    // When no control host is connected, the known addresses may be outdated
+    // and the settings newer.
+    const all = this.connected > 0 && this.#knownAddresses.length > 0
+      ? this.#knownAddresses
+      : [...this.#knownAddresses, ...this.#seeds];
     return [...new Set(all)].filter((address) => address !== selfAddress);
   }
 
   #review(): void {
-    for (const { link } of this.#links.values()) link.dropSilent();
+    for (const { link } of this.#links.values()) link.abortIfSilent();
     const candidates = this.#candidates();
-    this.#dropUnknown(candidates);
-    this.#dropUnreached(candidates.length);
+    this.#closeUnknown(candidates);
+    this.#closeUnreachable(candidates.length);
     while (this.#links.size < this.#options.most && this.#mayOpenNext()) {
-      const free = candidates.filter((address) => !this.#links.has(address));
-      if (free.length === 0) return;
+      const unused = candidates.filter((address) => !this.#links.has(address));
+      if (unused.length === 0) return;
       const now = monotonicMilliseconds();
-      const rested = free.filter((address) =>
-        now >= (this.#restUntil.get(address) ?? 0)
+      const retryable = unused.filter((address) =>
+        now >= (this.#retryAt.get(address) ?? 0)
       );
-      if (rested.length > 0) {
-        this.#open(rendezvousOwner(this.#options.hello.host, rested));
+      if (retryable.length > 0) {
+        this.#open(rendezvousOwner(this.#options.hello.host, retryable));
         continue;
       }
-      this.#open(rendezvousOwner(this.#options.hello.host, free));
+      this.#open(rendezvousOwner(this.#options.hello.host, unused));
     }
   }
 
-  /** Control hosts need each other at once, to elect a leader. */
+  /**
+   * Followers open one stream after the other. Control hosts open theirs all at
+   * once, as they need each other to elect a leader.
+   */
   #mayOpenNext(): boolean {
     if (this.#options.hello.isControl) return true;
     const openings = [...this.#links.values()].map(({ link, openedAt }) => ({
@@ -137,20 +163,21 @@
     return mayOpenNext(openings, monotonicMilliseconds());
   }
 
-  /** One that is no member any more can only tell what is old. */
-  #dropUnknown(candidates: string[]): void {
+  /** A control host that is no longer a member can only send outdated state. */
+  #closeUnknown(candidates: string[]): void {
     for (const address of [...this.#links.keys()]) {
       if (!candidates.includes(address)) this.#close(address);
     }
   }
 
-  #dropUnreached(candidates: number): void {
-    if (candidates <= this.#links.size) return;
+  /** Closes links to unreachable hosts if there are others to follow. */
+  #closeUnreachable(candidateCount: number): void {
+    if (candidateCount <= this.#links.size) return;
     const now = monotonicMilliseconds();
     for (const [address, { link, openedAt }] of [...this.#links]) {
-      const since = Math.max(openedAt, link.heardAt);
-      if (now - since <= UNREACHED_MILLISECONDS) continue;
-      this.#restUntil.set(address, now + REST_MILLISECONDS);
+      const lastActiveAt = Math.max(openedAt, link.lastMessageAt);
+      if (now - lastActiveAt <= UNREACHABLE_TIMEOUT_MILLISECONDS) continue;
+      this.#retryAt.set(address, now + RETRY_DELAY_MILLISECONDS);
       this.#close(address);
     }
   }
@@ -162,8 +189,8 @@
       hello,
       clients,
       log,
-      standingNews: standingNews ?? (() => undefined),
-      wantsLoads: () => !hello.isControl && this.#loadsAddress === address,
+      initialUpdate: standingNews ?? (() => undefined),
+      wantsLoads: () => !hello.isControl && this.#loadSourceAddress === address,
     });
     this.#links.set(address, { link, openedAt: monotonicMilliseconds() });
     link.updates$.subscribe((update) => {
--- a/packages/daemon/src/transport/follow_set_test.ts
+++ b/packages/daemon/src/transport/follow_set_test.ts
@@ -8,7 +8,7 @@
 
 const SEEDS = ["a:1", "b:1", "c:1"];
 
-/** Control hosts that take a stream in and say nothing until told to. */
+/** Control hosts that accept streams, and send nothing until `answer()`. */
 class SlowControlHosts {
   readonly opened: string[] = [];
   #answer: () => void = () => undefined;
@@ -23,7 +23,7 @@
         { signal }: { signal: AbortSignal },
       ) => {
         this.opened.push(address);
-        takeUntil(messages, signal);
+        consumeUntilAborted(messages, signal);
         return this.#updates(signal);
       },
     });
@@ -47,14 +47,17 @@
   }
 }
 
-async function takeUntil(
+async function consumeUntilAborted(
   messages: AsyncIterable<unknown>,
   signal: AbortSignal,
 ): Promise<void> {
   for await (const _ of messages) if (signal.aborted) return;
 }
 
-function follow(hosts: SlowControlHosts, isControl: boolean): FollowSet {
+function createFollowSet(
+  hosts: SlowControlHosts,
+  isControl: boolean,
+): FollowSet {
   return new FollowSet({
     hello: { host: "h", dataCentre: "here", isControl },
     selfAddress: "",
@@ -68,37 +71,38 @@
   });
 }
 
-// Pattern: behind an outage all followers turn to control hosts that have just
-// started. Guards against each opening all its streams at once, behind which
-// the first stream of others waits for seconds.
-test("a follower's next streams wait until the first is heard", async () => {
+// After an outage all followers connect to control hosts that have just
+// started. Guards against a follower that opens all its streams at once: the
+// first streams of other followers would queue behind them for seconds.
+test("a follower's further streams wait for a message on the first", async () => {
   const hosts = new SlowControlHosts();
-  const follows = follow(hosts, false);
-  follows.start();
+  const followSet = createFollowSet(hosts, false);
+  followSet.start();
   await pause(300);
   assert.equal(hosts.opened.length, 1);
   hosts.answer();
   await pause(900);
-  follows.stop();
+  followSet.stop();
   assert.deepEqual([...new Set(hosts.opened)].sort(), SEEDS);
 });
 
-// Guards against a first control host that is lost keeping a follower from all.
-test("a follower turns to the next when the first says nothing", async () => {
+// Guards against a follower that connects to no control host at all because the
+// first one that it tries is lost.
+test("a follower tries the next control host when the first is silent", async () => {
   const hosts = new SlowControlHosts();
-  const follows = follow(hosts, false);
-  follows.start();
+  const followSet = createFollowSet(hosts, false);
+  followSet.start();
   await pause(1_000);
-  follows.stop();
+  followSet.stop();
   assert.equal(new Set(hosts.opened).size, 2);
 });
 
 // Control hosts elect a leader only once they reach each other.
-test("control hosts turn to each other all at once", async () => {
+test("control hosts open their streams to each other all at once", async () => {
   const hosts = new SlowControlHosts();
-  const follows = follow(hosts, true);
-  follows.start();
+  const followSet = createFollowSet(hosts, true);
+  followSet.start();
   await pause(50);
-  follows.stop();
+  followSet.stop();
   assert.deepEqual([...hosts.opened].sort(), SEEDS);
 });
--- a/packages/daemon/src/transport/news.ts
+++ b/packages/daemon/src/transport/follower_update.ts
@@ -1,6 +1,6 @@
 import type { CrashNews, LimitNews } from "@teaselrouter/messages/follow.ts";
 
-/** What a follower tells control hosts of its own accord. */
-export type News =
+/** What a follower sends to control hosts unasked, besides its heartbeats. */
+export type FollowerUpdate =
   | { case: "crashes"; value: CrashNews }
   | { case: "limits"; value: LimitNews };
--- a/packages/daemon/src/transport/internal_server.ts
+++ b/packages/daemon/src/transport/internal_server.ts
@@ -7,16 +7,16 @@
 } from "node:http2";
 import { createServer, type Server } from "node:net";
 import type { Result } from "true-myth";
-import { COMPRESSED_BYTES } from "./compressed_bytes.ts";
+import { MIN_COMPRESSED_BYTES } from "./min_compressed_bytes.ts";
 import { listen } from "./listen.ts";
 
 type Options = {
   routes: (router: ConnectRouter) => void;
-  /** Whether a connection from this IP address is taken in now. */
+  /** Whether to accept a connection from this IP address now; all if absent. */
   mayConnect?: (ip: string) => boolean;
 };
 
-/** Serves this process's connect services over HTTP/2 without TLS. */
+/** Serves this process's Connect RPC services over HTTP/2 without TLS. */
 export class InternalServer {
   #listener: Server;
   #server: Http2Server;
@@ -24,15 +24,15 @@
 
   constructor({ routes, mayConnect = () => true }: Options) {
     this.#server = createHttp2Server(
-      connectNodeAdapter({ routes, compressMinBytes: COMPRESSED_BYTES }),
+      connectNodeAdapter({ routes, compressMinBytes: MIN_COMPRESSED_BYTES }),
     );
     this.#server.on("session", (session) => {
       this.#sessions.add(session);
       session.on("close", () => this.#sessions.delete(session));
       session.on("error", () => session.destroy());
     });
-    // Taking a session in costs some milliseconds, closing a connection
-    // hardly anything.
+    // Refused before the HTTP/2 server sees the connection: setting up a
+    // session costs some milliseconds, closing a connection next to nothing.
     this.#listener = createServer((socket) => {
       if (mayConnect(socket.remoteAddress ?? "")) {
         this.#server.emit("connection", socket);
@@ -44,7 +44,7 @@
     return listen(this.#listener, address);
   }
 
-  /** Ends listening and what is still connected. */
+  /** Stops listening and destroys the open sessions. */
   close(): void {
     this.#listener.close();
     for (const session of this.#sessions) session.destroy();
--- a/packages/daemon/src/transport/internal_server_test.ts
+++ b/packages/daemon/src/transport/internal_server_test.ts
@@ -15,9 +15,10 @@
   return `127.0.0.1:${port}`;
 }
 
-// Guards against a control host that takes in, ahead of an election, streams
-// of followers which wait for it.
-test("who may not connect yet is closed at once, and served later", async () => {
+// Guards against a control host that accepts followers' streams before the
+// leader election that these followers wait for: setting the streams up would
+// delay the election.
+test("a connection that is not allowed yet is closed at once, and served later", async () => {
   let mayConnect = false;
   const server = new InternalServer({
     routes: (router) => {
@@ -29,9 +30,9 @@
   assert.ok((await server.listen(address)).isOk);
   const clients = new ClientPool();
   const read = () => clients.client(TimelineService, address).read({});
-  const askedAt = performance.now();
+  const startedAt = performance.now();
   await assert.rejects(read());
-  assert.ok(performance.now() - askedAt < 1_000);
+  assert.ok(performance.now() - startedAt < 1_000);
   mayConnect = true;
   clients.renew(address);
   assert.deepEqual((await read()).events, []);
--- a/packages/daemon/src/transport/listen.ts
+++ b/packages/daemon/src/transport/listen.ts
@@ -2,7 +2,7 @@
 import { Result } from "true-myth";
 import { splitAddress } from "./split_address.ts";
 
-/** Starts listening; the error says why it can't. */
+/** Starts listening on `address` (host:port); the error gives the reason. */
 export function listen(
   server: Server,
   address: string,
--- a/packages/daemon/src/transport/monotonic_milliseconds.ts
+++ b/packages/daemon/src/transport/monotonic_milliseconds.ts
@@ -1,6 +1,6 @@
 /**
- * Time for every measure of duration: the time of day can jump by seconds,
- * which would end leases and start elections for nothing.
+ * Clock for measuring durations. Wall-clock time can jump by seconds, which
+ * would end leases and start elections without need.
  */
 export function monotonicMilliseconds(): number {
   return performance.now();
--- a/packages/daemon/src/transport/pause.ts
+++ b/packages/daemon/src/transport/pause.ts
@@ -1,4 +1,3 @@
-/** Waits. */
 export function pause(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
--- a/packages/daemon/src/transport/split_address.ts
+++ b/packages/daemon/src/transport/split_address.ts
@@ -1,5 +1,8 @@
-/** Splits a checked host:port. */
+/** Splits host:port, which must have been validated. */
 export function splitAddress(address: string): { host: string; port: number } {
-  const at = address.lastIndexOf(":");
-  return { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
+  const colon = address.lastIndexOf(":");
+  return {
+    host: address.slice(0, colon),
+    port: Number(address.slice(colon + 1)),
+  };
 }
--- a/packages/daemon/src/transport/to_async_iterable.ts
+++ b/packages/daemon/src/transport/to_async_iterable.ts
@@ -1,14 +1,15 @@
 import type { Observable } from "rxjs";
 
 /**
- * Turns a stream into an async iterable for connect. It listens from this
- * call on; what comes while the consumer is busy waits in order. Leaving the
- * loop unsubscribes.
+ * Converts an observable to an async iterable, as Connect streams need. It
+ * subscribes in this call; values that arrive while the consumer is busy are
+ * buffered in order, without a bound. Leaving the loop unsubscribes. An error
+ * of the source ends the iteration like its completion.
  */
 export function toAsyncIterable<Value>(
   source: Observable<Value>,
 ): AsyncIterable<Value> {
-  const waiting: Value[] = [];
+  const buffered: Value[] = [];
   let done = false;
   let wake = () => {};
   const finish = () => {
@@ -17,7 +18,7 @@
   };
   const subscription = source.subscribe({
     next: (value) => {
-      waiting.push(value);
+      buffered.push(value);
       wake();
     },
     error: finish,
@@ -26,7 +27,7 @@
   async function* iterate(): AsyncGenerator<Value> {
     try {
       while (true) {
-        while (waiting.length > 0) yield waiting.shift()!;
+        while (buffered.length > 0) yield buffered.shift()!;
         if (done) return;
         await new Promise<void>((resolve) => {
           wake = resolve;
