--- a/packages/daemon/src/agent/agent_app.ts
+++ b/packages/daemon/src/agent/agent_app.ts
@@ -11,7 +11,7 @@
 import type { Settings } from "../settings/settings.ts";
 import type { ClientPool } from "../transport/client_pool.ts";
 import { pause } from "../transport/pause.ts";
-import { announcementOf } from "./announcement_of.ts";
+import { createAnnouncement } from "./create_announcement.ts";
 import { AgentServer } from "./agent_server.ts";
 import { AgentState } from "./agent_state.ts";
 import { CallRunner } from "./call_runner.ts";
@@ -25,11 +25,14 @@
 import { SpreadClient } from "../spread/spread_client.ts";
 import { WeightsCache } from "../spread/weights_cache.ts";
 
-const POLL_MILLISECONDS = 25;
-const SILENCE_CHECK_MILLISECONDS = 500;
+const DRAIN_POLL_MILLISECONDS = 25;
+const SILENCE_CHECK_INTERVAL_MILLISECONDS = 500;
 
-/** A beat a second: silent for 2.5 s, a backend server counts as gone. */
-const QUIET_BEATS = 2;
+/**
+ * A heartbeat each second, as a beat is 500 ms. After 2.5 s of silence, entry
+ * hosts count a backend server as gone.
+ */
+const BEATS_PER_HEARTBEAT = 2;
 
 type Options = {
   settings: Settings;
@@ -38,7 +41,10 @@
   metrics: StatsD;
 };
 
-/** The small process beside a backend server. */
+/**
+ * The agent, a small process on the host of a backend server. It passes calls
+ * on to the backend server, fetches model weights and has the engine load them.
+ */
 export class AgentApp {
   #settings: Settings;
   #log: EventLog;
@@ -53,7 +59,7 @@
   #links: EntryLinks;
   #targetNumber = 0;
   #wasSilent = true;
-  #toldLoad = "";
+  #reportedLoad = "";
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
@@ -100,11 +106,11 @@
       dataCentre: settings.data_centre,
       clients,
       ring: log.ring,
-      greet: (address) => this.#greeting(address),
-      quietBeats: QUIET_BEATS,
-      beat: () => this.#loadIfChanged(),
+      greet: (address) => this.#initialMessages(address),
+      quietBeats: BEATS_PER_HEARTBEAT,
+      beat: () => this.#loadReportIfChanged(),
     });
-    this.#connectParts();
+    this.#subscribeParts();
   }
 
   routes(router: ConnectRouter): void {
@@ -117,8 +123,8 @@
     this.#links.start();
     this.#loader.start();
     this.#timer = setInterval(
-      () => this.#watchSilence(),
-      SILENCE_CHECK_MILLISECONDS,
+      () => this.#checkSilence(),
+      SILENCE_CHECK_INTERVAL_MILLISECONDS,
     );
     return Result.ok(undefined);
   }
@@ -129,7 +135,7 @@
     this.#loader.stop();
     await pause(this.#settings.agent!.drain_milliseconds);
     while (!this.#runner.isIdle || !this.#runner.isDelivered) {
-      await pause(POLL_MILLISECONDS);
+      await pause(DRAIN_POLL_MILLISECONDS);
     }
     clearInterval(this.#timer);
     this.#spread.stop();
@@ -138,17 +144,21 @@
     this.#server.close();
   }
 
-  #connectParts(): void {
-    this.#state.changed$.subscribe(() => this.#announce());
-    this.#links.incoming$.subscribe(({ message }) => this.#take(message));
+  #subscribeParts(): void {
+    this.#state.changed$.subscribe(() => this.#broadcastAnnouncement());
+    this.#links.incoming$.subscribe(({ message }) =>
+      this.#handleMessage(message)
+    );
     this.#links.coordinatorChanged$.subscribe(() => this.#reportAllChunks());
     this.#spread.changed$.subscribe((change) => {
-      this.#links.broadcast((address) => this.#chunkReport(address, change));
+      this.#links.broadcast((address) =>
+        this.#createChunkReport(address, change)
+      );
     });
-    this.#loader.permitWanted$.subscribe((wanted) => {
+    this.#loader.permitWanted$.subscribe((request) => {
       const address = this.#links.anyConnected;
       if (address === undefined) return;
-      this.#links.send(address, { case: "permitRequest", value: wanted });
+      this.#links.send(address, { case: "permitRequest", value: request });
     });
     this.#loader.settled$.subscribe((settled) => {
       if (settled.loaded) {
@@ -165,11 +175,11 @@
     });
   }
 
-  #take(message: EntryToAgent): void {
+  #handleMessage(message: EntryToAgent): void {
     const { body } = message;
     switch (body.case) {
       case "target":
-        return this.#takeTarget(body.value);
+        return this.#handleTarget(body.value);
       case "plan":
         return this.#spread.takePlan(body.value);
       case "permit":
@@ -180,8 +190,11 @@
     }
   }
 
-  /** Entry hosts may lag: only a later publication replaces the target. */
-  #takeTarget(target: WeightsTarget): void {
+  /**
+   * An entry host may lag behind others, so only a target that was published
+   * later replaces the current one.
+   */
+  #handleTarget(target: WeightsTarget): void {
     if (target.number <= this.#targetNumber) return;
     this.#targetNumber = target.number;
     const manifest = JSON.parse(
@@ -193,13 +206,13 @@
     this.#reportAllChunks();
   }
 
-  #announce(): void {
+  #broadcastAnnouncement(): void {
     if (this.#state.backend === undefined) return;
-    this.#links.broadcast(() => this.#announcement());
+    this.#links.broadcast(() => this.#createAnnouncementMessage());
   }
 
-  #announcement() {
-    const value = announcementOf(
+  #createAnnouncementMessage() {
+    const value = createAnnouncement(
       this.#settings,
       this.#state,
       this.#incarnation,
@@ -207,35 +220,35 @@
     return { case: "announcement" as const, value };
   }
 
-  #loadIfChanged() {
+  #loadReportIfChanged() {
     const { load } = this.#runner;
-    const text = JSON.stringify(load);
-    if (text === this.#toldLoad) return undefined;
-    this.#toldLoad = text;
+    const loadText = JSON.stringify(load);
+    if (loadText === this.#reportedLoad) return undefined;
+    this.#reportedLoad = loadText;
     return { case: "load" as const, value: load };
   }
 
-  #greeting(address: string) {
+  #initialMessages(address: string) {
     if (this.#state.backend === undefined) return [];
-    const announcement = this.#announcement();
+    const announcement = this.#createAnnouncementMessage();
     return this.#spread.version === ""
       ? [announcement]
-      : [announcement, this.#wholeChunkReport(address)];
+      : [announcement, this.#createFullChunkReport(address)];
   }
 
   #reportAllChunks(): void {
     if (this.#spread.version === "") return;
-    this.#links.broadcast((address) => this.#wholeChunkReport(address));
+    this.#links.broadcast((address) => this.#createFullChunkReport(address));
   }
 
-  #wholeChunkReport(address: string) {
+  #createFullChunkReport(address: string) {
     const { version } = this.#spread;
     const added = this.#cache.wholeBlocks(version);
     const change = { version, added, failed: [], whole: true };
-    return this.#chunkReport(address, change);
+    return this.#createChunkReport(address, change);
   }
 
-  #chunkReport(
+  #createChunkReport(
     address: string,
     change: {
       version: string;
@@ -258,12 +271,12 @@
     };
   }
 
-  #watchSilence(): void {
-    const silent = this.#state.isSilent(Date.now());
-    if (silent && !this.#wasSilent) {
+  #checkSilence(): void {
+    const isSilent = this.#state.isSilent(Date.now());
+    if (isSilent && !this.#wasSilent) {
       this.#log.warn("backend-server-silent");
-      this.#announce();
+      this.#broadcastAnnouncement();
     }
-    this.#wasSilent = silent;
+    this.#wasSilent = isSilent;
   }
 }
--- a/packages/daemon/src/agent/agent_server.ts
+++ b/packages/daemon/src/agent/agent_server.ts
@@ -12,33 +12,36 @@
 import { sendProblem } from "../http/send_problem.ts";
 import { listen } from "../transport/listen.ts";
 import type { AgentState } from "./agent_state.ts";
-import { announceSchema } from "./announce_schema.ts";
+import { announcementSchema } from "./announcement_schema.ts";
 import { ChunkSender } from "../spread/chunk_sender.ts";
 import type { LinkPacer } from "../spread/link_pacer.ts";
 import type { WeightsCache } from "../spread/weights_cache.ts";
 
-const MOST_ANNOUNCEMENT_BYTES = 16_384;
-const IDLE_MILLISECONDS = 5_000;
+const MAX_ANNOUNCEMENT_BYTES = 16_384;
+const IDLE_TIMEOUT_MILLISECONDS = 5_000;
 
 type Options = {
   dataCentre: string;
   state: AgentState;
   cache: WeightsCache;
-  /** This host's link. */
+  /** Rate limiter of this host's network link. */
   link: LinkPacer;
-  /** What this host may send to each other data centre; 0 is not limited. */
+  /** Limit of what is sent to each other data centre; 0 for no limit. */
   regionBytesPerSecond: number;
 };
 
-/** The agent's port: announcements, chunks for peers, weights for engines. */
+/**
+ * The agent's HTTP server: receives the backend server's announcements, and
+ * sends chunks to peers and weights to the engine.
+ */
 export class AgentServer {
   #options: Options;
   #server: Server;
-  #chunks: ChunkSender;
+  #chunkSender: ChunkSender;
 
   constructor(options: Options) {
     this.#options = options;
-    this.#chunks = new ChunkSender(options);
+    this.#chunkSender = new ChunkSender(options);
     this.#server = createServer((request, response) => {
       response.on("error", () => undefined);
       this.#handle(request, response).catch(() => response.destroy());
@@ -61,10 +64,10 @@
     const parts = (request.url ?? "").split("/").slice(1)
       .map(decodeURIComponent);
     if (request.method === "POST" && request.url === "/v1/announce") {
-      return await this.#announce(request, response);
+      return await this.#handleAnnouncement(request, response);
     }
     if (request.method === "GET" && parts[0] === "chunks") {
-      return await this.#chunks.send(request, response, parts);
+      return await this.#chunkSender.send(request, response, parts);
     }
     if (request.method === "GET" && parts[0] === "weights") {
       return await this.#sendWeights(response, parts[1] ?? "");
@@ -77,29 +80,32 @@
     });
   }
 
-  async #announce(
+  async #handleAnnouncement(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     const body = await readBody(request, {
-      maximumBytes: MOST_ANNOUNCEMENT_BYTES,
-      idleMilliseconds: IDLE_MILLISECONDS,
+      maximumBytes: MAX_ANNOUNCEMENT_BYTES,
+      idleMilliseconds: IDLE_TIMEOUT_MILLISECONDS,
     });
     if (body.isErr) return sendProblem(response, body.error);
-    const checked = announceSchema.safeParse(parseJson(body.value));
-    if (!checked.success) {
+    const parsed = announcementSchema.safeParse(parseJson(body.value));
+    if (!parsed.success) {
       return sendProblem(response, {
         status: 400,
         type: "bad-announcement",
-        ...describeIssue(checked.error),
+        ...describeIssue(parsed.error),
         outcome: "not-run",
       });
     }
-    this.#options.state.announce(checked.data, Date.now());
+    this.#options.state.announce(parsed.data, Date.now());
     response.writeHead(204).end();
   }
 
-  /** The engine on this host reads a complete version, never part of one. */
+  /**
+   * Sends a version to the engine on this host. A version that is not complete
+   * is a 404, so that the engine never loads part of one.
+   */
   async #sendWeights(
     response: ServerResponse,
     version: string,
--- a/packages/daemon/src/agent/agent_state.ts
+++ b/packages/daemon/src/agent/agent_state.ts
@@ -1,17 +1,18 @@
 import { Subject } from "rxjs";
 import type { BackendServer } from "./backend_server.ts";
 
-const SILENT_MILLISECONDS = 3_000;
+const SILENCE_TIMEOUT_MILLISECONDS = 3_000;
 
-/** What an agent's parts share about their backend server. */
+/** State of the agent's backend server, shared by the agent's parts. */
 export class AgentState {
-  /** Something that entry hosts must hear has changed. */
+  /** Emits when something that is announced to entry hosts has changed. */
   readonly changed$ = new Subject<void>();
+  /** The backend server's last announcement; undefined before the first. */
   backend: BackendServer | undefined;
   /** Complete version that the engine serves; empty for none. */
   servingVersion = "";
-  /** Counts every time the served weights may have changed. */
-  epoch = 0;
+  /** Rises whenever the weights that the engine serves may have changed. */
+  weightsEpoch = 0;
   #loading = false;
   #stopping = false;
   #announcedAt = 0;
@@ -26,7 +27,7 @@
 
   /** Whether the backend server has stopped announcing itself. */
   isSilent(now: number): boolean {
-    return now - this.#announcedAt > SILENT_MILLISECONDS;
+    return now - this.#announcedAt > SILENCE_TIMEOUT_MILLISECONDS;
   }
 
   setLoading(loading: boolean): void {
@@ -34,14 +35,17 @@
     this.changed$.next();
   }
 
-  /** From here on the engine may answer from other weights. */
-  markOrdered(): void {
-    this.epoch += 1;
+  /**
+   * To be called before a load is ordered: from then on the engine may answer
+   * from other weights.
+   */
+  recordLoadOrder(): void {
+    this.weightsEpoch += 1;
   }
 
   setServing(version: string): void {
     this.servingVersion = version;
-    this.epoch += 1;
+    this.weightsEpoch += 1;
     this.changed$.next();
   }
 
@@ -54,7 +58,7 @@
     return this.#stopping;
   }
 
-  /** Why no call is taken now; undefined when calls are taken. */
+  /** Why calls are refused now; undefined while they are accepted. */
   refusal(now: number): string | undefined {
     if (this.#stopping) return "stopping";
     if (this.backend === undefined || this.isSilent(now)) {
--- a/packages/daemon/src/agent/backend_call.ts
+++ b/packages/daemon/src/agent/backend_call.ts
@@ -2,7 +2,7 @@
 import { Agent, type IncomingMessage, request as send } from "node:http";
 import type { Buffer } from "node:buffer";
 import { splitAddress } from "../transport/split_address.ts";
-import type { AgentLimit } from "./agent_limit.ts";
+import type { BackendRateLimiter } from "./backend_rate_limiter.ts";
 import type { AgentState } from "./agent_state.ts";
 import type { EngineClient } from "./engine_client.ts";
 import type { Exchange } from "./exchange.ts";
@@ -11,16 +11,20 @@
 
 type CallEnd =
   | { kind: "answered" }
-  /** The backend server surely did not see the call. */
+  /** No connection was made: the backend server surely did not see the call. */
   | { kind: "not-run"; reason: string }
-  | { kind: "failed"; ran: boolean; reason: string };
+  /** Without `isKnownToHaveRun`, the call may or may not have run. */
+  | { kind: "failed"; isKnownToHaveRun: boolean; reason: string };
 
-/** Requests a second that a backend server in need takes, with its answers. */
+/**
+ * Response header in which an overloaded backend server names the requests per
+ * second that it accepts.
+ */
 const LIMIT_HEADER = "teaselrouter-limit";
 
 type Options = {
   state: AgentState;
-  limit: AgentLimit;
+  limit: BackendRateLimiter;
   engine: EngineClient;
   request: RunRequest;
   exchange: Exchange;
@@ -29,11 +33,11 @@
 /** One call to the backend server on this host. */
 export class BackendCall {
   #state: AgentState;
-  #limit: AgentLimit;
+  #limit: BackendRateLimiter;
   #engine: EngineClient;
   #request: RunRequest;
   #exchange: Exchange;
-  #epoch: number;
+  #weightsEpoch: number;
   #version: string;
 
   constructor(options: Options) {
@@ -43,7 +47,7 @@
     this.#engine = options.engine;
     this.#request = options.request;
     this.#exchange = options.exchange;
-    this.#epoch = state.epoch;
+    this.#weightsEpoch = state.weightsEpoch;
     this.#version = state.servingVersion;
   }
 
@@ -51,13 +55,13 @@
     const { backend } = this.#state;
     const { body, path, contentType, requestId } = this.#request;
     return new Promise((resolve) => {
-      let sent = false;
+      let isConnected = false;
       const call = send({
         ...splitAddress(backend!.address),
         method: "POST",
         path,
         agent: connections,
-        signal: this.#exchange.cancelled.signal,
+        signal: this.#exchange.canceller.signal,
         headers: {
           "Content-Type": contentType || "application/octet-stream",
           "Content-Length": body.length,
@@ -67,32 +71,36 @@
       });
       call.once("socket", (socket) => {
         socket.once("connect", () => {
-          sent = true;
+          isConnected = true;
         });
       });
       call.once("error", (error) => {
         const reason = (error as { code?: string }).code ?? error.message;
         resolve(
-          sent
-            ? { kind: "failed", ran: false, reason }
+          isConnected
+            ? { kind: "failed", isKnownToHaveRun: false, reason }
             : { kind: "not-run", reason },
         );
       });
-      call.once("response", (response) => resolve(this.#take(response)));
+      call.once(
+        "response",
+        (response) => resolve(this.#handleResponse(response)),
+      );
       call.end(body);
     });
   }
 
-  #take(response: IncomingMessage): Promise<CallEnd> {
-    this.#limit.hear(limitIn(response.headers[LIMIT_HEADER]));
+  #handleResponse(response: IncomingMessage): Promise<CallEnd> {
+    this.#limit.setLimit(parseLimit(response.headers[LIMIT_HEADER]));
     const version = String(response.headers["engine-version"] ?? "");
-    // The engine obeyed an order that this agent did not give, as one that
-    // ignores fencing tokens may: its answer is of weights nobody vouches for.
+    // The engine obeyed a load order that this agent did not give, as an engine
+    // that ignores fencing tokens may. Nothing vouches for the weights that the
+    // answer comes from.
     if (this.#state.backend!.uses_weights && version !== this.#version) {
       response.destroy();
       return Promise.resolve({
         kind: "failed",
-        ran: true,
+        isKnownToHaveRun: true,
         reason: "version-moved",
       });
     }
@@ -109,43 +117,61 @@
     return new Promise((resolve) => {
       response.on("data", (bytes: Buffer) => this.#exchange.append(bytes));
       response.once("error", (error) => {
-        resolve({ kind: "failed", ran: true, reason: error.message });
+        resolve({
+          kind: "failed",
+          isKnownToHaveRun: true,
+          reason: error.message,
+        });
       });
       response.once("close", () => {
         if (!response.complete) {
-          resolve({ kind: "failed", ran: true, reason: "answer-cut-short" });
+          resolve({
+            kind: "failed",
+            isKnownToHaveRun: true,
+            reason: "answer-cut-short",
+          });
         } else resolve(this.#finish());
       });
     });
   }
 
-  /** The end is given out only when no load was begun under the answer. */
+  /**
+   * Passes on the end of the answer, unless the weights may have changed while
+   * the engine gave it.
+   */
   async #finish(): Promise<CallEnd> {
-    if (await this.#moved()) {
-      return { kind: "failed", ran: true, reason: "version-moved" };
+    if (await this.#hasVersionChanged()) {
+      return {
+        kind: "failed",
+        isKnownToHaveRun: true,
+        reason: "version-moved",
+      };
     }
     this.#exchange.end();
     return { kind: "answered" };
   }
 
   /**
-   * An engine that ignores fencing tokens may have obeyed a late order in
-   * the middle of the answer, unknown to this agent: it is asked once more.
+   * Whether the engine's weights may have changed since the call began. An
+   * engine that ignores fencing tokens may have obeyed a delayed load order
+   * during the answer without this agent's knowledge, so its state is read
+   * again.
    */
-  async #moved(): Promise<boolean> {
+  async #hasVersionChanged(): Promise<boolean> {
     const { uses_weights, checks_fencing } = this.#state.backend!;
     if (!uses_weights) return false;
-    if (this.#state.epoch !== this.#epoch) return true;
+    if (this.#state.weightsEpoch !== this.#weightsEpoch) return true;
     if (checks_fencing) return false;
-    const read = await this.#engine.state();
+    const read = await this.#engine.readState();
     return read.isErr || read.value.loading ||
       read.value.version !== this.#version;
   }
 }
 
-function limitIn(header: string | string[] | undefined): number | undefined {
+/** Undefined if the header is missing or holds no number from 0 up. */
+function parseLimit(header: string | string[] | undefined): number | undefined {
   const text = typeof header === "string" ? header.trim() : "";
   const perSecond = Number(text);
-  const isSound = text !== "" && Number.isFinite(perSecond) && perSecond >= 0;
-  return isSound ? perSecond : undefined;
+  const isValid = text !== "" && Number.isFinite(perSecond) && perSecond >= 0;
+  return isValid ? perSecond : undefined;
 }
--- /dev/null
+++ b/packages/daemon/src/agent/backend_incarnations.ts
@@ -0,0 +1,32 @@
+import { askWhetherEnded } from "../transport/ask_whether_ended.ts";
+import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
+
+/** Numbers the incarnations of the backend server on an agent's host. */
+export class BackendIncarnations {
+  /** The agent's own, as the backend server has none. */
+  #incarnation: string;
+  #endCount = 0;
+  #endedAt = -Infinity;
+
+  constructor(incarnation: string) {
+    this.#incarnation = incarnation;
+  }
+
+  /**
+   * Finds out after a failed call whether the backend server has ended. Calls
+   * that one end interrupted all get the same id; a call that was sent after an
+   * end belongs to the next incarnation.
+   *
+   * @param sentAt when the call was sent there, monotonic milliseconds.
+   * @returns id of the incarnation that ended; empty if none is known to have.
+   */
+  async findEndedIncarnation(address: string, sentAt: number): Promise<string> {
+    const failedAt = monotonicMilliseconds();
+    if (await askWhetherEnded(address) !== "ended") return "";
+    if (sentAt > this.#endedAt) {
+      this.#endCount += 1;
+      this.#endedAt = failedAt;
+    }
+    return `${this.#incarnation}@${this.#endCount}`;
+  }
+}
--- a/packages/daemon/src/agent/agent_limit.ts
+++ b/packages/daemon/src/agent/backend_rate_limiter.ts
@@ -1,15 +1,18 @@
 import { LimitPart } from "@teaselrouter/core/named_limits/limit_part.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-/** An agent is the only way to its backend server: it has the whole limit. */
-const WHOLE = 1;
+/**
+ * Calls reach a backend server only through its agent, so the agent has the
+ * whole limit.
+ */
+const WHOLE_LIMIT = 1;
 
-/** Keeps to the requests a second that a backend server says it takes. */
-export class AgentLimit {
+/** Enforces the requests per second that a backend server says it accepts. */
+export class BackendRateLimiter {
   #part: LimitPart | undefined;
 
-  /** With each answer; undefined where it names no limit. */
-  hear(perSecond: number | undefined): void {
+  /** To be called with each answer; undefined if the answer names no limit. */
+  setLimit(perSecond: number | undefined): void {
     if (perSecond === undefined) this.#part = undefined;
     else if (this.#part !== undefined) this.#part.perSecond = perSecond;
     else {this.#part = new LimitPart(
@@ -19,19 +22,24 @@
       );}
   }
 
-  /** A call is to run there: 0, or when there is room, milliseconds. */
-  take(): number {
+  /**
+   * Requests admission of one call to the backend server.
+   *
+   * @returns 0 if the call is admitted, and counted; otherwise milliseconds
+   * until there is capacity, at least 1.
+   */
+  admit(): number {
     const now = monotonicMilliseconds();
     const part = this.#part;
     if (part === undefined) return 0;
-    part.tell(WHOLE, now);
+    part.tell(WHOLE_LIMIT, now);
     part.want(now);
     if (!part.admits(now)) return Math.max(1, part.untilRoom(now));
     part.take(now);
     return 0;
   }
 
-  /** What it named is forgotten with its end. */
+  /** Discards the limit, as the backend server that named it has ended. */
   reset(): void {
     this.#part = undefined;
   }
--- a/packages/daemon/src/agent/backend_server.ts
+++ b/packages/daemon/src/agent/backend_server.ts
@@ -1,5 +1,5 @@
 import type * as z from "zod";
-import type { announceSchema } from "./announce_schema.ts";
+import type { announcementSchema } from "./announcement_schema.ts";
 
-/** What the backend server on this host said of itself. */
-export type BackendServer = z.infer<typeof announceSchema>;
+/** An announcement of the backend server on this host, once validated. */
+export type BackendServer = z.infer<typeof announcementSchema>;
--- a/packages/daemon/src/agent/call_routes.ts
+++ b/packages/daemon/src/agent/call_routes.ts
@@ -8,10 +8,13 @@
 import { pause } from "../transport/pause.ts";
 import type { CallRunner } from "./call_runner.ts";
 
-/** A claimed call may still be on its way when its key is asked for again. */
-const SETTLE_GRACE_MILLISECONDS = 300;
+/**
+ * Wait for a claimed call that has not arrived, before its claim is withdrawn:
+ * the call may still be in flight when an entry host settles the claim.
+ */
+const CLAIM_ARRIVAL_GRACE_MILLISECONDS = 300;
 
-/** The connect service through which entry hosts make calls. */
+/** The Connect RPC service through which entry hosts make calls. */
 export function callRoutes(runner: CallRunner, incarnation: string) {
   return (router: ConnectRouter): void => {
     router.service(CallService, {
@@ -33,7 +36,7 @@
       },
       async settleClaim(request) {
         if (!runner.claims.has(request.claimKey, request.claimIndex)) {
-          await pause(SETTLE_GRACE_MILLISECONDS);
+          await pause(CLAIM_ARRIVAL_GRACE_MILLISECONDS);
         }
         const requestId = runner.claims.settle(
           request.claimKey,
--- a/packages/daemon/src/agent/call_runner.ts
+++ b/packages/daemon/src/agent/call_runner.ts
@@ -2,37 +2,44 @@
 import { admitToQueue } from "@teaselrouter/core/routing/admit_to_queue.ts";
 import type { RunRequest } from "@teaselrouter/messages/agent.ts";
 import { CallOutcome } from "@teaselrouter/messages/agent.ts";
-import { AgentLimit } from "./agent_limit.ts";
+import { BackendRateLimiter } from "./backend_rate_limiter.ts";
 import type { AgentState } from "./agent_state.ts";
 import { BackendCall } from "./backend_call.ts";
-import { BackendEnds } from "./backend_ends.ts";
+import { BackendIncarnations } from "./backend_incarnations.ts";
 import type { EngineClient } from "./engine_client.ts";
 import { Exchange } from "./exchange.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-const KEPT_MILLISECONDS = 60_000;
-/** The longest deadline: an asked-for answer may be read again so long. */
-const KEPT_UNREPEATABLE_MILLISECONDS = 600_000;
-const UNREAD_MILLISECONDS = 5_000;
-const MOST_KEPT_BYTES = 67_108_864;
-const SWEEP_MILLISECONDS = 1_000;
-const LEARNING_SHARE = 0.05;
-const FIRST_GUESS_MILLISECONDS = 50;
-const LOADING_RETRY_MILLISECONDS = 500;
+const REPEATABLE_RETENTION_MILLISECONDS = 60_000;
+/**
+ * The longest deadline of a call: for so long a client may ask for the answer
+ * again.
+ */
+const UNREPEATABLE_RETENTION_MILLISECONDS = 600_000;
+const UNREAD_TIMEOUT_MILLISECONDS = 5_000;
+const MAX_KEPT_BYTES = 67_108_864;
+const SWEEP_INTERVAL_MILLISECONDS = 1_000;
+/** Weight of the latest call in the moving average of service times. */
+const SERVICE_TIME_WEIGHT = 0.05;
+const INITIAL_SERVICE_MILLISECONDS = 50;
+const UNAVAILABLE_RETRY_MILLISECONDS = 500;
 
-type Waiting = { exchange: Exchange; start: () => void; priority: number };
+type QueuedCall = { exchange: Exchange; start: () => void; priority: number };
 
-/** Runs the calls of one backend server: no more at once than its slots. */
+/**
+ * Runs the calls of one backend server, at most as many at once as it has
+ * slots, and keeps their answers.
+ */
 export class CallRunner {
   readonly claims: AgentClaims;
   #state: AgentState;
   #engine: EngineClient;
-  #ends: BackendEnds;
-  #limit = new AgentLimit();
+  #incarnations: BackendIncarnations;
+  #limit = new BackendRateLimiter();
   #exchanges = new Map<string, Exchange>();
   #running = 0;
-  #queue: Waiting[] = [];
-  #serviceMilliseconds = FIRST_GUESS_MILLISECONDS;
+  #queue: QueuedCall[] = [];
+  #serviceMilliseconds = INITIAL_SERVICE_MILLISECONDS;
   #timer: NodeJS.Timeout;
 
   constructor(
@@ -40,9 +47,9 @@
   ) {
     this.#state = options.state;
     this.#engine = options.engine;
-    this.#ends = new BackendEnds(options.incarnation);
+    this.#incarnations = new BackendIncarnations(options.incarnation);
     this.claims = new AgentClaims(options.incarnation);
-    this.#timer = setInterval(() => this.#sweep(), SWEEP_MILLISECONDS);
+    this.#timer = setInterval(() => this.#sweep(), SWEEP_INTERVAL_MILLISECONDS);
   }
 
   stop(): void {
@@ -72,7 +79,11 @@
     return this.#exchanges.get(requestId);
   }
 
-  /** Starts a call, or finds it: the same request is never started twice. */
+  /**
+   * Starts, queues or refuses a call, and returns its exchange. The same
+   * request is never started twice: a known request id gets the existing
+   * exchange.
+   */
   run(request: RunRequest): Exchange {
     const known = this.#exchanges.get(request.requestId);
     if (known !== undefined) return known;
@@ -80,17 +91,21 @@
       request.requestId,
       request.claimKey === "",
     );
-    const settled = request.claimKey === ""
+    const resolved = request.claimKey === ""
       ? undefined
-      : this.#settledByClaim(request, exchange);
-    if (settled !== undefined) return settled;
+      : this.#resolveClaim(request, exchange);
+    if (resolved !== undefined) return resolved;
     this.#exchanges.set(request.requestId, exchange);
     this.#admit(request, exchange);
     return exchange;
   }
 
-  /** What the claim says instead of running; undefined when it may run. */
-  #settledByClaim(
+  /**
+   * Checks the claim of a call. Returns the exchange of a call that arrived
+   * under the same claim before, or a refused one; undefined when the call may
+   * run.
+   */
+  #resolveClaim(
     request: RunRequest,
     exchange: Exchange,
   ): Exchange | undefined {
@@ -107,8 +122,8 @@
         return this.#exchanges.get(verdict.requestId) ??
           this.#refuse(exchange, CallOutcome.UNKNOWN, "answer-dropped");
       case "refuse": {
-        const notRun = verdict.outcome === "not-run";
-        const outcome = notRun ? CallOutcome.NOT_RUN : CallOutcome.UNKNOWN;
+        const isNotRun = verdict.outcome === "not-run";
+        const outcome = isNotRun ? CallOutcome.NOT_RUN : CallOutcome.UNKNOWN;
         return this.#refuse(exchange, outcome, verdict.reason);
       }
     }
@@ -116,15 +131,15 @@
 
   cancel(requestId: string): void {
     const exchange = this.#exchanges.get(requestId);
-    if (exchange?.repeatable) exchange.cancelled.abort();
+    if (exchange?.isRepeatable) exchange.canceller.abort();
   }
 
   #admit(request: RunRequest, exchange: Exchange): void {
     const refusal = this.#state.refusal(Date.now());
     if (refusal !== undefined) {
-      return this.#refuseUnrun(request, exchange, {
+      return this.#refuseNotRun(request, exchange, {
         reason: refusal,
-        retryAfterMilliseconds: LOADING_RETRY_MILLISECONDS,
+        retryAfterMilliseconds: UNAVAILABLE_RETRY_MILLISECONDS,
       });
     }
     const { slots } = this.#state.backend!;
@@ -134,13 +149,13 @@
     );
     if (retryAfterMilliseconds > 0) {
       const refusal = { reason: "overloaded", retryAfterMilliseconds };
-      return this.#refuseUnrun(request, exchange, refusal);
+      return this.#refuseNotRun(request, exchange, refusal);
     }
-    const untilRoom = this.#limit.take();
-    if (untilRoom > 0) {
-      return this.#refuseUnrun(request, exchange, {
+    const limitRetryMilliseconds = this.#limit.admit();
+    if (limitRetryMilliseconds > 0) {
+      return this.#refuseNotRun(request, exchange, {
         reason: "limited",
-        retryAfterMilliseconds: untilRoom,
+        retryAfterMilliseconds: limitRetryMilliseconds,
       });
     }
     const start = () => this.#start(request, exchange);
@@ -151,7 +166,7 @@
   async #start(request: RunRequest, exchange: Exchange): Promise<void> {
     this.#running += 1;
     const startedAt = Date.now();
-    const begunAt = monotonicMilliseconds();
+    const sentAt = monotonicMilliseconds();
     const call = new BackendCall({
       state: this.#state,
       engine: this.#engine,
@@ -164,39 +179,49 @@
       this.#withdraw(request);
       this.#finishRefused(exchange, CallOutcome.NOT_RUN, outcome.reason);
     } else if (outcome.kind === "failed") {
-      const ran = outcome.ran ? CallOutcome.RAN : CallOutcome.UNKNOWN;
+      const callOutcome = outcome.isKnownToHaveRun
+        ? CallOutcome.RAN
+        : CallOutcome.UNKNOWN;
       const { address } = this.#state.backend!;
-      const ended = await this.#ends.nameEnd(address, begunAt);
-      if (ended !== "") this.#limit.reset();
-      this.#finishRefused(exchange, ran, outcome.reason, ended);
+      const endedIncarnation = await this.#incarnations.findEndedIncarnation(
+        address,
+        sentAt,
+      );
+      if (endedIncarnation !== "") this.#limit.reset();
+      this.#finishRefused(
+        exchange,
+        callOutcome,
+        outcome.reason,
+        endedIncarnation,
+      );
     } else {
-      this.#learn(Date.now() - startedAt);
+      this.#updateServiceTime(Date.now() - startedAt);
     }
     this.#running -= 1;
     this.#startNext();
   }
 
-  /** Larger priorities first; equal ones in the order they came. */
-  #enqueue(waiting: Waiting): void {
-    const behind = this.#queue.findIndex(({ priority }) =>
-      priority < waiting.priority
+  /** Larger priorities first; equal ones in order of arrival. */
+  #enqueue(call: QueuedCall): void {
+    const next = this.#queue.findIndex(({ priority }) =>
+      priority < call.priority
     );
-    if (behind < 0) this.#queue.push(waiting);
-    else this.#queue.splice(behind, 0, waiting);
+    if (next < 0) this.#queue.push(call);
+    else this.#queue.splice(next, 0, call);
   }
 
   /** A call left waiting while the engine began a load goes elsewhere. */
   #startNext(): void {
     const next = this.#queue.shift();
     if (next === undefined) return;
-    if (next.exchange.cancelled.signal.aborted) {
+    if (next.exchange.canceller.signal.aborted) {
       this.#finishRefused(next.exchange, CallOutcome.NOT_RUN, "cancelled");
       return this.#startNext();
     }
     next.start();
   }
 
-  #refuseUnrun(
+  #refuseNotRun(
     request: RunRequest,
     exchange: Exchange,
     refusal: { reason: string; retryAfterMilliseconds: number },
@@ -209,7 +234,11 @@
     });
   }
 
-  /** "Not run" is a promise: a late copy of the call must find it kept. */
+  /**
+   * Withdraws the claim of a call that is refused as "not run". The refusal
+   * promises that the call never runs, so a delayed copy of the call must be
+   * refused too.
+   */
   #withdraw(request: RunRequest): void {
     if (request.claimKey === "") return;
     const { claimKey, claimIndex } = request;
@@ -235,28 +264,34 @@
     });
   }
 
-  #learn(milliseconds: number): void {
-    this.#serviceMilliseconds += LEARNING_SHARE *
+  #updateServiceTime(milliseconds: number): void {
+    this.#serviceMilliseconds += SERVICE_TIME_WEIGHT *
       (milliseconds - this.#serviceMilliseconds);
   }
 
-  /** Drops old answers, and cancels work that nobody waits for. */
+  /**
+   * Drops old answers, and cancels repeatable calls that have had no reader for
+   * some time. Beyond the limit of kept bytes, answers of older calls without a
+   * reader go first.
+   */
   #sweep(): void {
     const now = Date.now();
     let bytes = 0;
     for (const exchange of [...this.#exchanges.values()].reverse()) {
       bytes += exchange.bytes;
-      const kept = exchange.repeatable
-        ? KEPT_MILLISECONDS
-        : KEPT_UNREPEATABLE_MILLISECONDS;
+      const retentionMilliseconds = exchange.isRepeatable
+        ? REPEATABLE_RETENTION_MILLISECONDS
+        : UNREPEATABLE_RETENTION_MILLISECONDS;
       const ended = exchange.endedAt > 0;
-      const old = ended && now - exchange.endedAt > kept;
-      const read = exchange.unreadSince > 0;
-      if (old || (ended && read && bytes > MOST_KEPT_BYTES)) {
+      const isExpired = ended &&
+        now - exchange.endedAt > retentionMilliseconds;
+      const hasNoReader = exchange.unreadSince > 0;
+      if (isExpired || (ended && hasNoReader && bytes > MAX_KEPT_BYTES)) {
         this.#exchanges.delete(exchange.requestId);
       }
-      const unread = read && now - exchange.unreadSince > UNREAD_MILLISECONDS;
-      if (!ended && unread && exchange.repeatable) exchange.cancelled.abort();
+      const unread = hasNoReader &&
+        now - exchange.unreadSince > UNREAD_TIMEOUT_MILLISECONDS;
+      if (!ended && unread && exchange.isRepeatable) exchange.canceller.abort();
     }
   }
 }
--- a/packages/daemon/src/agent/announcement_of.ts
+++ b/packages/daemon/src/agent/create_announcement.ts
@@ -1,8 +1,11 @@
 import type { Settings } from "../settings/settings.ts";
 import type { AgentState } from "./agent_state.ts";
 
-/** What an agent tells entry hosts of itself and its backend server. */
-export function announcementOf(
+/**
+ * Creates an agent's announcement of itself and its backend server to entry
+ * hosts. The backend server must have announced itself to the agent.
+ */
+export function createAnnouncement(
   settings: Settings,
   state: AgentState,
   incarnation: string,
--- a/packages/daemon/src/agent/engine_client.ts
+++ b/packages/daemon/src/agent/engine_client.ts
@@ -1,11 +1,11 @@
 import { Result } from "true-myth";
 import * as z from "zod";
 
-const CALL_MILLISECONDS = 2_000;
+const CALL_TIMEOUT_MILLISECONDS = 2_000;
 const PROBE_PATH = "/v1/probe";
 
 const stateSchema = z.object({
-  /** Complete version that is loaded; empty for none. */
+  /** Version that is loaded completely; empty for none. */
   version: z.string(),
   loading: z.boolean(),
   fencing_token: z.number(),
@@ -15,20 +15,21 @@
 
 type LoadOrder = {
   version: string;
-  /** Where the engine reads the weights, http URL on its own host. */
+  /** HTTP URL on the engine's own host from which it reads the weights. */
   source: string;
   fencingToken: number;
 };
 
-/** Orders to the engine on this host, and what it says of itself. */
+/** HTTP client of the engine on this host: orders loads, reads its state. */
 export class EngineClient {
   #address: () => string | undefined;
 
+  /** @param address of the engine; undefined while it is not known. */
   constructor(address: () => string | undefined) {
     this.#address = address;
   }
 
-  async state(): Promise<Result<EngineState, string>> {
+  async readState(): Promise<Result<EngineState, string>> {
     const answer = await this.#call("GET", "/v1/state");
     if (answer.isErr) return Result.err(answer.error);
     const parsed = stateSchema.safeParse(
@@ -51,7 +52,11 @@
       : Result.err(`load-refused-${answer.value.status}`);
   }
 
-  /** Version that the engine answers with, asked by a call of its own. */
+  /**
+   * Makes a test call to the engine.
+   *
+   * @returns the version that the engine answered with; empty if it named none.
+   */
   async probe(): Promise<Result<string, string>> {
     const answer = await this.#call("POST", PROBE_PATH, {});
     if (answer.isErr) return Result.err(answer.error);
@@ -74,7 +79,7 @@
           method,
           headers: { "Content-Type": "application/json" },
           body: body === undefined ? undefined : JSON.stringify(body),
-          signal: AbortSignal.timeout(CALL_MILLISECONDS),
+          signal: AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS),
         }),
       );
     } catch (error) {
--- a/packages/daemon/src/agent/engine_loader.ts
+++ b/packages/daemon/src/agent/engine_loader.ts
@@ -6,16 +6,22 @@
 import type { EngineClient } from "./engine_client.ts";
 import type { WeightsCache } from "../spread/weights_cache.ts";
 
-const STEP_MILLISECONDS = 100;
-const SETTLE_POLL_MILLISECONDS = 25;
-const READ_BACK_EVERY_STEPS = 5;
-const PERMIT_ASK_MILLISECONDS = 500;
-const PERMIT_VALID_MILLISECONDS = 30_000;
-const LOAD_MILLISECONDS = 60_000;
-const DRAIN_MILLISECONDS = 20_000;
-const FAILED_PAUSE_MILLISECONDS = 500;
-
-type Permit = { version: string; fencingToken: number; at: number };
+const STEP_INTERVAL_MILLISECONDS = 100;
+const POLL_INTERVAL_MILLISECONDS = 25;
+/** The engine's state is checked in one of so many steps. */
+const STATE_CHECK_STEPS = 5;
+const PERMIT_REQUEST_INTERVAL_MILLISECONDS = 500;
+const PERMIT_VALIDITY_MILLISECONDS = 30_000;
+const LOAD_TIMEOUT_MILLISECONDS = 60_000;
+const DRAIN_TIMEOUT_MILLISECONDS = 20_000;
+const RETRY_DELAY_MILLISECONDS = 500;
+
+type Permit = {
+  version: string;
+  fencingToken: number;
+  /** When the permit was received, Unix milliseconds. */
+  at: number;
+};
 
 type Options = {
   state: AgentState;
@@ -28,22 +34,25 @@
 };
 
 /**
- * Brings the engine to the target version, one order at a time: calls are
- * stopped first, and taken again only once the engine was read back and has
- * answered a probe with the version that was ordered.
+ * Has the engine load the target version, with one load order at a time. Calls
+ * are stopped before an order, and accepted again only once the engine has
+ * reported the ordered version as loaded and has answered a probe with it.
+ * After a failed order, the version that the engine then has is probed and
+ * served in the same way.
  */
 export class EngineLoader {
-  /** Asks for leave to stop serving; repeated until it is given. */
+  /** Requests for a permit to stop serving; repeated until one is granted. */
   readonly permitWanted$ = new Subject<
     { version: string; wasServing: boolean }
   >();
+  /** The result of each load. */
   readonly settled$ = new Subject<
     { version: string; fencingToken: number; loaded: boolean }
   >();
   #options: Options;
   #target = "";
   #permit: Permit | undefined;
-  #askedAt = 0;
+  #permitRequestedAt = 0;
   #steps = 0;
   #stopped = false;
 
@@ -64,68 +73,76 @@
   }
 
   takePermit(version: string, fencingToken: number): void {
-    const older = fencingToken <= (this.#permit?.fencingToken ?? 0);
-    if (!older) this.#permit = { version, fencingToken, at: Date.now() };
+    const isOld = fencingToken <= (this.#permit?.fencingToken ?? 0);
+    if (!isOld) this.#permit = { version, fencingToken, at: Date.now() };
   }
 
   async #run(): Promise<void> {
     while (!this.#stopped) {
       await this.#step();
-      await pause(STEP_MILLISECONDS);
+      await pause(STEP_INTERVAL_MILLISECONDS);
     }
   }
 
   async #step(): Promise<void> {
     const { state, cache } = this.#options;
     const backend = state.backend;
-    // Nothing is taken over before control has said what is to be served.
     if (backend === undefined || !backend.uses_weights) return;
+    // No version that the engine has loaded is adopted before the control hosts
+    // have said which one is to be served.
     if (this.#target === "" || state.isStopping) return;
     this.#steps += 1;
-    if (this.#steps % READ_BACK_EVERY_STEPS === 1) await this.#readBack();
+    if (this.#steps % STATE_CHECK_STEPS === 1) await this.#checkEngineState();
     if (state.servingVersion === this.#target) return;
     if (!cache.isComplete(this.#target)) return;
-    const permit = this.#validPermit();
-    if (permit === undefined) this.#askForPermit();
+    const permit = this.#findValidPermit();
+    if (permit === undefined) this.#requestPermit();
     else await this.#load(permit);
   }
 
   /**
-   * An engine that ignores fencing tokens may obey an order that was late on
-   * its way, and a restarted one holds nothing: what it serves is read again
-   * and again, and calls are stopped when it is not what was settled.
+   * Compares the version that the engine reports with the one that it should be
+   * serving, and stops calls when they differ: an engine that ignores fencing
+   * tokens may obey a delayed load order, and a restarted engine has nothing
+   * loaded. When no version is served, adopts the one that the engine reports
+   * if a probe confirms it.
    */
-  async #readBack(): Promise<void> {
+  async #checkEngineState(): Promise<void> {
     const { state, engine, log } = this.#options;
-    const read = await engine.state();
+    const read = await engine.readState();
     if (read.isErr) return;
     const { version, loading } = read.value;
-    const holds = loading ? "" : version;
-    if (holds === state.servingVersion) return;
+    const loadedVersion = loading ? "" : version;
+    if (loadedVersion === state.servingVersion) return;
     if (state.servingVersion !== "") {
       log.warn("engine-moved", {
         expected: state.servingVersion,
-        found: holds,
+        found: loadedVersion,
       });
       state.setServing("");
-    } else if (holds !== "" && (await this.#answersWith(holds))) {
-      log.info("engine-adopted", { version: holds });
-      state.setServing(holds);
+    } else if (
+      loadedVersion !== "" && (await this.#answersWith(loadedVersion))
+    ) {
+      log.info("engine-adopted", { version: loadedVersion });
+      state.setServing(loadedVersion);
     }
   }
 
-  #validPermit(): Permit | undefined {
+  #findValidPermit(): Permit | undefined {
     const permit = this.#permit;
     if (permit === undefined || permit.version !== this.#target) {
       return undefined;
     }
     const age = Date.now() - permit.at;
-    return age < PERMIT_VALID_MILLISECONDS ? permit : undefined;
+    return age < PERMIT_VALIDITY_MILLISECONDS ? permit : undefined;
   }
 
-  #askForPermit(): void {
-    if (Date.now() - this.#askedAt < PERMIT_ASK_MILLISECONDS) return;
-    this.#askedAt = Date.now();
+  #requestPermit(): void {
+    if (
+      Date.now() - this.#permitRequestedAt <
+        PERMIT_REQUEST_INTERVAL_MILLISECONDS
+    ) return;
+    this.#permitRequestedAt = Date.now();
     const wasServing = this.#options.state.servingVersion !== "";
     this.permitWanted$.next({ version: this.#target, wasServing });
   }
@@ -134,8 +151,8 @@
     const { state, log } = this.#options;
     const startedAt = Date.now();
     state.setLoading(true);
-    await this.#untilIdle();
-    const loaded = await this.#orderAndSettle(permit);
+    await this.#waitUntilIdle();
+    const loaded = await this.#orderAndVerify(permit);
     this.#permit = undefined;
     if (loaded) {
       state.setServing(permit.version);
@@ -146,50 +163,58 @@
       });
     } else {
       state.setServing("");
-      await this.#readBack();
+      await this.#checkEngineState();
     }
     state.setLoading(false);
     this.settled$.next({ ...permit, loaded });
-    if (!loaded) await pause(FAILED_PAUSE_MILLISECONDS);
+    if (!loaded) await pause(RETRY_DELAY_MILLISECONDS);
   }
 
-  /** Calls under way end on the weights that they began with. */
-  async #untilIdle(): Promise<void> {
-    const until = Date.now() + DRAIN_MILLISECONDS;
-    while (!this.#options.runner.isIdle && Date.now() < until) {
-      await pause(SETTLE_POLL_MILLISECONDS);
+  /**
+   * Lets running and queued calls end on the weights that they began with, for
+   * a limited time.
+   */
+  async #waitUntilIdle(): Promise<void> {
+    const deadline = Date.now() + DRAIN_TIMEOUT_MILLISECONDS;
+    while (!this.#options.runner.isIdle && Date.now() < deadline) {
+      await pause(POLL_INTERVAL_MILLISECONDS);
     }
   }
 
-  async #orderAndSettle(permit: Permit): Promise<boolean> {
+  async #orderAndVerify(permit: Permit): Promise<boolean> {
     const { engine, log, weightsAddress } = this.#options;
     const { version, fencingToken } = permit;
     const source = `http://${weightsAddress}/weights/${
       encodeURIComponent(version)
     }`;
-    this.#options.state.markOrdered();
+    this.#options.state.recordLoadOrder();
     const ordered = await engine.load({ version, source, fencingToken });
     if (ordered.isErr) {
       log.warn("load-failed", { version, reason: ordered.error });
     }
-    // Even a refused or lost order is read back: it may have been obeyed.
-    const settled = await this.#untilSettled();
-    if (settled === version && (await this.#answersWith(version))) return true;
-    log.warn("load-failed", { version, reason: `engine holds "${settled}"` });
+    // The state is read even when the order was refused or lost: the engine may
+    // have obeyed it.
+    const loaded = await this.#waitUntilLoadEnds();
+    if (loaded === version && (await this.#answersWith(version))) return true;
+    log.warn("load-failed", { version, reason: `engine holds "${loaded}"` });
     return false;
   }
 
-  /** What the engine holds once no load is open; empty when it never says. */
-  async #untilSettled(): Promise<string> {
-    const until = Date.now() + LOAD_MILLISECONDS;
-    while (Date.now() < until && !this.#stopped) {
-      const read = await this.#options.engine.state();
+  /**
+   * Waits until the engine reports that no load is in progress. Returns the
+   * version that it has loaded; empty if it reports none in time.
+   */
+  async #waitUntilLoadEnds(): Promise<string> {
+    const deadline = Date.now() + LOAD_TIMEOUT_MILLISECONDS;
+    while (Date.now() < deadline && !this.#stopped) {
+      const read = await this.#options.engine.readState();
       if (read.isOk && !read.value.loading) return read.value.version;
-      await pause(SETTLE_POLL_MILLISECONDS);
+      await pause(POLL_INTERVAL_MILLISECONDS);
     }
     return "";
   }
 
+  /** Whether a probe of the engine is answered with this version. */
   async #answersWith(version: string): Promise<boolean> {
     const probed = await this.#options.engine.probe();
     return probed.isOk && probed.value === version;
--- a/packages/daemon/src/agent/exchange.ts
+++ b/packages/daemon/src/agent/exchange.ts
@@ -3,7 +3,7 @@
 import { AnswerFrameSchema } from "@teaselrouter/messages/agent.ts";
 import { Buffer } from "node:buffer";
 
-const HEARTBEAT_MILLISECONDS = 400;
+const HEARTBEAT_INTERVAL_MILLISECONDS = 400;
 
 type Body = MessageInitShape<typeof AnswerFrameSchema>["body"];
 type Start = { status: number; contentType: string; version: string };
@@ -14,25 +14,27 @@
   endedIncarnation: string;
 };
 
-/** One call's answer, kept with offsets so that a reader can come back. */
+/** One call's answer, kept so that a reader can resume at any byte offset. */
 export class Exchange {
   readonly requestId: string;
-  readonly repeatable: boolean;
-  readonly cancelled = new AbortController();
-  /** When it ended, milliseconds; 0 while it goes on. */
+  readonly isRepeatable: boolean;
+  readonly canceller = new AbortController();
+  /** When the answer ended, Unix milliseconds; 0 while it goes on. */
   endedAt = 0;
-  /** When its last reader left, milliseconds; 0 while it has one. */
+  /**
+   * Since when there is no reader, Unix milliseconds; 0 while there is one.
+   */
   unreadSince = Date.now();
   #parts: Buffer[] = [];
   #bytes = 0;
   #start: Start | undefined;
   #refusal: Refusal | undefined;
-  #wake = new Set<() => void>();
+  #waiters = new Set<() => void>();
   #readers = 0;
 
   constructor(requestId: string, repeatable: boolean) {
     this.requestId = requestId;
-    this.repeatable = repeatable;
+    this.isRepeatable = repeatable;
   }
 
   get bytes(): number {
@@ -45,100 +47,107 @@
 
   begin(start: Start): void {
     this.#start = start;
-    this.#notify();
+    this.#wakeReaders();
   }
 
   append(bytes: Buffer): void {
     if (this.endedAt > 0) return;
     this.#parts.push(bytes);
     this.#bytes += bytes.length;
-    this.#notify();
+    this.#wakeReaders();
   }
 
   end(): void {
     if (this.endedAt > 0) return;
     this.endedAt = Date.now();
-    this.#notify();
+    this.#wakeReaders();
   }
 
-  /** Ends without a whole answer; what was kept is discarded. */
+  /** Ends without a whole answer, and discards what has been kept of one. */
   refuse(refusal: Refusal): void {
     if (this.endedAt > 0) return;
     this.endedAt = Date.now();
     this.#refusal = refusal;
     this.#parts = [];
-    this.#notify();
+    this.#wakeReaders();
   }
 
-  /** Frames from `offset` on, with heartbeats while nothing comes. */
+  /**
+   * Yields the answer's frames from byte `offset` on, with heartbeats while the
+   * engine sends nothing.
+   */
   async *read(offset: number): AsyncGenerator<AnswerFrame> {
     this.#readers += 1;
     this.unreadSince = 0;
     try {
-      yield* this.#frames(offset);
+      yield* this.#readFrames(offset);
     } finally {
       this.#readers -= 1;
       if (this.#readers === 0) this.unreadSince = Date.now();
     }
   }
 
-  async *#frames(offset: number): AsyncGenerator<AnswerFrame> {
+  async *#readFrames(offset: number): AsyncGenerator<AnswerFrame> {
     let position = offset;
-    let startTold = false;
+    let isStartSent = false;
     while (true) {
       if (this.#refusal !== undefined) {
-        yield frame({ case: "refused", value: this.#refusal });
+        yield createFrame({ case: "refused", value: this.#refusal });
         return;
       }
-      if (this.#start !== undefined && !startTold) {
-        startTold = true;
-        yield frame({ case: "start", value: this.#start });
+      if (this.#start !== undefined && !isStartSent) {
+        isStartSent = true;
+        yield createFrame({ case: "start", value: this.#start });
         continue;
       }
       if (position < this.#bytes) {
-        const data = this.#from(position);
+        const data = this.#bytesFrom(position);
         position += data.length;
-        yield frame({ case: "data", value: data });
+        yield createFrame({ case: "data", value: data });
         continue;
       }
       if (this.endedAt > 0) {
-        yield frame({ case: "end", value: { totalBytes: this.#bytes } });
+        yield createFrame({ case: "end", value: { totalBytes: this.#bytes } });
         return;
       }
-      const changed = await this.#untilChanged();
-      if (!changed) yield frame({ case: "heartbeat", value: true });
+      const hasChanged = await this.#waitForChange();
+      if (!hasChanged) yield createFrame({ case: "heartbeat", value: true });
     }
   }
 
-  #from(position: number): Buffer {
-    let skipped = 0;
+  #bytesFrom(position: number): Buffer {
+    let partOffset = 0;
     const parts: Buffer[] = [];
     for (const part of this.#parts) {
-      const start = Math.max(0, position - skipped);
+      const start = Math.max(0, position - partOffset);
       if (start < part.length) parts.push(part.subarray(start));
-      skipped += part.length;
+      partOffset += part.length;
     }
     return parts.length === 1 ? parts[0]! : Buffer.concat(parts);
   }
 
-  #untilChanged(): Promise<boolean> {
+  /** Resolves to false after the heartbeat interval without a change. */
+  #waitForChange(): Promise<boolean> {
     return new Promise((resolve) => {
-      const settle = (changed: boolean) => {
+      const finish = (hasChanged: boolean) => {
         clearTimeout(timer);
-        this.#wake.delete(wake);
-        resolve(changed);
+        this.#waiters.delete(wake);
+        resolve(hasChanged);
       };
-      const wake = () => settle(true);
-      const timer = setTimeout(() => settle(false), HEARTBEAT_MILLISECONDS);
-      this.#wake.add(wake);
+      const wake = () => finish(true);
+      const timer = setTimeout(
+        () => finish(false),
+        HEARTBEAT_INTERVAL_MILLISECONDS,
+      );
+      this.#waiters.add(wake);
     });
   }
 
-  #notify(): void {
-    for (const wake of [...this.#wake]) wake();
+  #wakeReaders(): void {
+    for (const wake of [...this.#waiters]) wake();
   }
 }
 
-function frame(body: Body): AnswerFrame {
+function createFrame(body: Body): AnswerFrame {
   return create(AnswerFrameSchema, { body });
 }
--- a/packages/daemon/src/transport/follow_link.ts
+++ b/packages/daemon/src/transport/follow_link.ts
@@ -20,7 +20,7 @@
 import { toAsyncIterable } from "./to_async_iterable.ts";
 
 const HEARTBEAT_INTERVAL_MILLISECONDS = 1_000;
-/** Three heartbeat intervals of the control host: the connection may be dead. */
+/** Three heartbeat intervals of control hosts; the connection may be dead. */
 const SILENCE_TIMEOUT_MILLISECONDS = 1_200;
 /**
  * Wait for the first message on a new stream. A control host that has just
