--- a/packages/daemon/src/agent/agent_app.ts
+++ b/packages/daemon/src/agent/agent_app.ts
@@ -160,7 +160,7 @@
       if (address === undefined) return;
       this.#links.send(address, { case: "permitRequest", value: request });
     });
-    this.#loader.settled$.subscribe((settled) => {
+    this.#loader.loadEnded$.subscribe((settled) => {
       if (settled.loaded) {
         this.#metrics.increment("weights.live");
         this.#metrics.timing(
--- a/packages/daemon/src/agent/engine_loader.ts
+++ b/packages/daemon/src/agent/engine_loader.ts
@@ -45,8 +45,8 @@
   readonly permitWanted$ = new Subject<
     { version: string; wasServing: boolean }
   >();
-  /** The result of each load. */
-  readonly settled$ = new Subject<
+  /** Emits the result of each load. */
+  readonly loadEnded$ = new Subject<
     { version: string; fencingToken: number; loaded: boolean }
   >();
   #options: Options;
@@ -166,7 +166,7 @@
       await this.#checkEngineState();
     }
     state.setLoading(false);
-    this.settled$.next({ ...permit, loaded });
+    this.loadEnded$.next({ ...permit, loaded });
     if (!loaded) await pause(RETRY_DELAY_MILLISECONDS);
   }
 
--- a/packages/daemon/src/transport/follow_set.ts
+++ b/packages/daemon/src/transport/follow_set.ts
@@ -77,7 +77,7 @@
   }
 
   /** Number of control hosts that have sent a message on the current stream. */
-  get connected(): number {
+  get connectedCount(): number {
     return [...this.#links.values()].filter(({ link }) => link.isConnected)
       .length;
   }
@@ -124,7 +124,7 @@
     const { selfAddress } = this.#options;
     // When no control host is connected, the known addresses may be outdated
     // and the settings newer.
-    const all = this.connected > 0 && this.#knownAddresses.length > 0
+    const all = this.connectedCount > 0 && this.#knownAddresses.length > 0
       ? this.#knownAddresses
       : [...this.#knownAddresses, ...this.#seeds];
     return [...new Set(all)].filter((address) => address !== selfAddress);
