--- a/packages/core/src/claims/agent_claims.ts
+++ b/packages/core/src/claims/agent_claims.ts
@@ -73,7 +73,11 @@
    * Returns the id of the request that runs the call if the claim has arrived
    * and was not withdrawn, else undefined.
    */
-  settle(key: string, claimIndex: number, now: number): string | undefined {
+  withdrawUnlessKnown(
+    key: string,
+    claimIndex: number,
+    now: number,
+  ): string | undefined {
     const record = this.#recordByKey.get(key);
     const isKnown = record !== undefined && record.claimIndex >= claimIndex;
     if (isKnown) return record.tombstoned ? undefined : record.requestId;
--- a/packages/core/src/claims/apply_claim.ts
+++ b/packages/core/src/claims/apply_claim.ts
@@ -1,4 +1,4 @@
-import type { ChangeAnswer } from "../state/change_answer.ts";
+import type { CommandResult } from "../state/command_result.ts";
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 import { claimId } from "./claim_id.ts";
@@ -26,7 +26,7 @@
   state: ControlState,
   command: CommandOf<"claim">,
   index: number,
-): ChangeAnswer {
+): CommandResult {
   expireClaims(state.claims, command.at);
   const id = claimId(command);
   const existing = state.claims.get(id);
--- a/packages/core/src/claims/apply_claim_cancellation.ts
+++ b/packages/core/src/claims/apply_claim_cancellation.ts
@@ -1,4 +1,4 @@
-import type { ChangeAnswer } from "../state/change_answer.ts";
+import type { CommandResult } from "../state/command_result.ts";
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 import { claimId } from "./claim_id.ts";
@@ -10,7 +10,7 @@
 export function applyClaimCancellation(
   state: ControlState,
   command: CommandOf<"cancel-claim">,
-): ChangeAnswer {
+): CommandResult {
   const id = claimId(command);
   const existing = state.claims.get(id);
   if (existing === undefined || existing.claimIndex !== command.claimIndex) {
--- a/packages/core/src/claims/claims_test.ts
+++ b/packages/core/src/claims/claims_test.ts
@@ -4,7 +4,7 @@
 import { applyCommand } from "../state/apply_command.ts";
 import type { Command } from "../state/command.ts";
 import { decodeControlState } from "../state/decode_control_state.ts";
-import { emptyControlState } from "../state/empty_control_state.ts";
+import { createEmptyControlState } from "../state/create_empty_control_state.ts";
 import { encodeControlState } from "../state/encode_control_state.ts";
 import { AgentClaims } from "./agent_claims.ts";
 import type { ClaimRow } from "./claim_row.ts";
@@ -27,7 +27,7 @@
 }
 
 test("a key has one owner until its claim is withdrawn", () => {
-  const state = emptyControlState();
+  const state = createEmptyControlState();
   assert.ok(applyCommand(state, claim("k", "r1"), 1).accepted);
   const second = applyCommand(state, claim("k", "r2"), 2);
   assert.ok(!second.accepted);
@@ -44,7 +44,7 @@
 });
 
 test("a key with another body is refused", () => {
-  const state = emptyControlState();
+  const state = createEmptyControlState();
   applyCommand(state, claim("k", "r1"), 1);
   const other = { ...claim("k", "r2"), bodyDigest: "other" } as Command;
   const answer = applyCommand(state, other, 2);
@@ -52,7 +52,7 @@
 });
 
 test("the first recorded outcome is kept, also across a snapshot", () => {
-  const state = emptyControlState();
+  const state = createEmptyControlState();
   applyCommand(state, claim("k", "r1"), 1);
   const settle = (outcome: "ran" | "unknown"): Command => ({
     kind: "settle-claim",
@@ -85,7 +85,7 @@
   console.log(`seed ${SEED}`);
   fc.assert(
     fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-      const state = emptyControlState();
+      const state = createEmptyControlState();
       const agent = new AgentClaims("x");
       const granted: ClaimRow[] = [];
       const ran = new Map<string, number>();
@@ -112,7 +112,11 @@
           }
           continue;
         }
-        const running = agent.settle(row.key, row.claimIndex, index);
+        const running = agent.withdrawUnlessKnown(
+          row.key,
+          row.claimIndex,
+          index,
+        );
         if (running !== undefined) continue;
         notRun.add(id);
         applyCommand(state, {
--- a/packages/core/src/consensus/election_state.ts
+++ b/packages/core/src/consensus/election_state.ts
@@ -52,7 +52,7 @@
     this.#term = options.hardState.term;
     this.#votedFor = options.hardState.votedFor;
     this.#electionAt = options.now +
-      options.electionMilliseconds * FIRST_ELECTION_TIMEOUT_FRACTION *
+      options.electionTimeoutMilliseconds * FIRST_ELECTION_TIMEOUT_FRACTION *
         (1 + options.random());
   }
 
@@ -76,12 +76,13 @@
    * an election began.
    */
   resetElectionTimer(now: number): void {
-    const span = this.#options.electionMilliseconds;
+    const span = this.#options.electionTimeoutMilliseconds;
     this.#electionAt = now + span * (1 + this.#options.random());
   }
 
   #nextPreVoteAt(now: number): number {
-    const span = this.#options.electionMilliseconds * PRE_VOTE_RETRY_FRACTION;
+    const span = this.#options.electionTimeoutMilliseconds *
+      PRE_VOTE_RETRY_FRACTION;
     return now + span * (1 + this.#options.random());
   }
 
--- a/packages/core/src/consensus/leadership.ts
+++ b/packages/core/src/consensus/leadership.ts
@@ -46,8 +46,8 @@
 
   /** Whether a majority has answered within the election timeout. */
   hasQuorumContact(now: number): boolean {
-    const { electionMilliseconds } = this.#options.raftOptions;
-    return this.#replicator.hasQuorumContact(now, electionMilliseconds);
+    const { electionTimeoutMilliseconds } = this.#options.raftOptions;
+    return this.#replicator.hasQuorumContact(now, electionTimeoutMilliseconds);
   }
 
   /**
@@ -92,7 +92,7 @@
    */
   replicate(now: number): number {
     const { raftOptions, memberLog } = this.#options;
-    this.#nextHeartbeatAt = now + raftOptions.heartbeatMilliseconds;
+    this.#nextHeartbeatAt = now + raftOptions.heartbeatIntervalMilliseconds;
     return this.#replicator.broadcast(memberLog.commitIndex, now);
   }
 
@@ -133,7 +133,7 @@
     const target = others[0];
     if (target === undefined) return false;
     this.#transferTargetId = target.id;
-    this.#transferDeadline = now + raftOptions.electionMilliseconds;
+    this.#transferDeadline = now + raftOptions.electionTimeoutMilliseconds;
     this.#requestTransferIfCaughtUp();
     return true;
   }
--- a/packages/core/src/consensus/raft_node.ts
+++ b/packages/core/src/consensus/raft_node.ts
@@ -72,7 +72,7 @@
     return this.#memberLog.membership.current;
   }
 
-  get membershipIsCommitted(): boolean {
+  get isMembershipCommitted(): boolean {
     return this.#memberLog.membership.lastChangeIndex <=
       this.#memberLog.commitIndex;
   }
@@ -133,7 +133,7 @@
   ): Result<number, ProposalRefusal> {
     const leadership = this.#leadership;
     if (!leadership?.acceptsProposals(now)) return Result.err("not-leading");
-    if (!this.membershipIsCommitted || !this.hasCommittedOwnTerm) {
+    if (!this.isMembershipCommitted || !this.hasCommittedOwnTerm) {
       return Result.err("change-under-way");
     }
     const data = toBinary(MembershipSchema, membership);
@@ -205,8 +205,8 @@
   }
 
   /** Takes the messages that need not wait for a sync in progress. */
-  takeImmediate(): PeerMessage[] {
-    return this.#outbox.takeImmediate();
+  takeImmediateMessages(): PeerMessage[] {
+    return this.#outbox.takeImmediateMessages();
   }
 
   /** Whether there is anything to write, send or apply. */
@@ -258,7 +258,8 @@
     if (message.body.case !== "voteRequest") return false;
     if (message.body.value.transfer) return false;
     if (this.#leadership !== undefined) return this.isLeading(now);
-    return now - this.#lastLeaderContactAt < this.#options.electionMilliseconds;
+    return now - this.#lastLeaderContactAt <
+      this.#options.electionTimeoutMilliseconds;
   }
 
   /**
--- a/packages/core/src/consensus/raft_node_test.ts
+++ b/packages/core/src/consensus/raft_node_test.ts
@@ -31,8 +31,8 @@
   const members = ["a", "b", "c"].map((id) => ({ id, name: id }));
   return new RaftNode({
     id: "a",
-    electionMilliseconds: ELECTION_MILLISECONDS,
-    heartbeatMilliseconds: 20,
+    electionTimeoutMilliseconds: ELECTION_MILLISECONDS,
+    heartbeatIntervalMilliseconds: 20,
     random: () => 0,
     hardState: create(HardStateSchema, { term }),
     snapshot: create(SnapshotDataSchema, {
@@ -176,7 +176,7 @@
     60,
   );
   assert.equal(node.term, 5);
-  assert.deepEqual(node.takeOutput().afterSync, []);
+  assert.deepEqual(node.takeOutput().messagesAfterSync, []);
 });
 
 test("a member that joins late is sent the log once, in requests of limited size", () => {
@@ -196,8 +196,8 @@
   const members = ["a", "b", "c"].map((id) => ({ id, name: id }));
   const joining = new RaftNode({
     id: "c",
-    electionMilliseconds: 10_000,
-    heartbeatMilliseconds: 20,
+    electionTimeoutMilliseconds: 10_000,
+    heartbeatIntervalMilliseconds: 20,
     random: () => 0,
     hardState: create(HardStateSchema),
     snapshot: create(SnapshotDataSchema, {
@@ -219,7 +219,9 @@
     });
     for (const node of [leader, joining]) {
       const output = node.takeOutput();
-      for (const sent of [...output.immediate, ...output.afterSync]) {
+      for (
+        const sent of [...output.immediateMessages, ...output.messagesAfterSync]
+      ) {
         if (sent.to === "b") continue;
         if (sent.body.case === "appendRequest") {
           const bytes = sent.body.value.entries.length * size;
@@ -273,8 +275,8 @@
   const node = newNode([entry(1, 1)], 1);
   node.takeOutput();
   const takeVoteRequestCount = () => {
-    const { immediate, afterSync } = node.takeOutput();
-    return [...immediate, ...afterSync].filter(({ body }) =>
+    const { immediateMessages, messagesAfterSync } = node.takeOutput();
+    return [...immediateMessages, ...messagesAfterSync].filter(({ body }) =>
       body.case === "voteRequest"
     ).length;
   };
@@ -302,13 +304,16 @@
   node.receive(message("b", 2, { case: "voteRequest", value }), due - 1);
   node.takeOutput();
   node.tick(due);
-  const { immediate, afterSync } = node.takeOutput();
-  const asked = [...immediate, ...afterSync].filter(({ body }) =>
-    body.case === "voteRequest"
-  );
+  const { immediateMessages, messagesAfterSync } = node.takeOutput();
+  const asked = [...immediateMessages, ...messagesAfterSync].filter((
+    { body },
+  ) => body.case === "voteRequest");
   assert.deepEqual(asked, []);
   node.tick(due + 0.3 * ELECTION_MILLISECONDS);
-  assert.ok(node.takeOutput().afterSync.length > 0, "b did not stand: it asks");
+  assert.ok(
+    node.takeOutput().messagesAfterSync.length > 0,
+    "b did not stand: it asks",
+  );
 });
 
 // Two members start a pre-vote at the same moment. On hosts that have just
@@ -326,7 +331,7 @@
     node.takeOutput();
     const request = message(from, 2, { case: "voteRequest", value });
     node.receive(request, ELECTION_MILLISECONDS);
-    const answer = node.takeOutput().afterSync.find(({ body }) =>
+    const answer = node.takeOutput().messagesAfterSync.find(({ body }) =>
       body.case === "voteResponse"
     );
     assert.ok(answer?.body.case === "voteResponse");
@@ -356,7 +361,7 @@
   assert.equal(output.snapshot, undefined);
   assert.equal(node.lastIndex, 4);
   assert.deepEqual(output.committed.map(({ index }) => Number(index)), [1, 2]);
-  const answer = output.afterSync[0]?.body;
+  const answer = output.messagesAfterSync[0]?.body;
   assert.ok(answer?.case === "appendResponse" && answer.value.accepted);
   assert.equal(answer.value.matchIndex, 2);
 
--- a/packages/core/src/consensus/raft_options.ts
+++ b/packages/core/src/consensus/raft_options.ts
@@ -10,8 +10,8 @@
  */
 export type RaftOptions = {
   id: string;
-  electionMilliseconds: number;
-  heartbeatMilliseconds: number;
+  electionTimeoutMilliseconds: number;
+  heartbeatIntervalMilliseconds: number;
   /** Uniform in [0, 1); the member's only source of randomness. */
   random: () => number;
   hardState: HardState;
--- a/packages/core/src/consensus/raft_outbox.ts
+++ b/packages/core/src/consensus/raft_outbox.ts
@@ -13,8 +13,8 @@
     truncateFrom: undefined,
     entries: [],
     snapshot: undefined,
-    immediate: [],
-    afterSync: [],
+    immediateMessages: [],
+    messagesAfterSync: [],
     committed: [],
   };
 }
@@ -28,11 +28,11 @@
    * so it need not wait for a sync.
    */
   sendNow(message: PeerMessage): void {
-    this.#output.immediate.push(message);
+    this.#output.immediateMessages.push(message);
   }
 
   sendAfterSync(message: PeerMessage): void {
-    this.#output.afterSync.push(message);
+    this.#output.messagesAfterSync.push(message);
   }
 
   storeHardState(term: number, votedFor: string): void {
@@ -62,13 +62,14 @@
 
   get isEmpty(): boolean {
     const output = this.#output;
-    return output.immediate.length === 0 && output.afterSync.length === 0 &&
+    return output.immediateMessages.length === 0 &&
+      output.messagesAfterSync.length === 0 &&
       output.entries.length === 0 && output.hardState === undefined &&
       output.truncateFrom === undefined && output.snapshot === undefined;
   }
 
-  takeImmediate(): PeerMessage[] {
-    return this.#output.immediate.splice(0);
+  takeImmediateMessages(): PeerMessage[] {
+    return this.#output.immediateMessages.splice(0);
   }
 
   takeOutput(): RaftOutput {
--- a/packages/core/src/consensus/raft_output.ts
+++ b/packages/core/src/consensus/raft_output.ts
@@ -21,9 +21,9 @@
    * Messages that assert nothing about this member's durable state, so they
    * may be sent before the sync.
    */
-  immediate: PeerMessage[];
+  immediateMessages: PeerMessage[];
   /** Messages that assert durable state: send them only after the sync. */
-  afterSync: PeerMessage[];
+  messagesAfterSync: PeerMessage[];
   /** Newly committed entries in log order, for the state machine. */
   committed: LogEntry[];
 };
--- a/packages/core/src/consensus/raft_schedules_test.ts
+++ b/packages/core/src/consensus/raft_schedules_test.ts
@@ -99,7 +99,7 @@
   #repair: { lost: string; joining: string } | undefined;
   #now = 0;
   #random: () => number;
-  #wantedVoters: number;
+  #targetVoters: number;
   /** Whether `planMembership` changes the members, without an operator. */
   #isAutomatic: boolean;
 
@@ -107,7 +107,7 @@
     this.#random = seededRandom(seed);
     this.#isAutomatic = isAutomatic;
     const size = this.#random() < 0.7 ? 3 : 5;
-    this.#wantedVoters = size;
+    this.#targetVoters = size;
     const members = Array.from({ length: size }, (_, index) => ({
       id: `member-${index}`,
       name: `member-${index}`,
@@ -168,7 +168,7 @@
 
   #processOutput(member: Member): void {
     const output = member.node!.takeOutput();
-    for (const message of output.immediate) this.#send(message);
+    for (const message of output.immediateMessages) this.#send(message);
     if (output.snapshot !== undefined) this.#install(member, output.snapshot);
     for (const entry of output.committed) this.#apply(member, entry);
     const slow = this.#random() < 0.3 ? 6 : 0;
@@ -187,7 +187,7 @@
     write(member.disk, output);
     const last = output.entries.at(-1);
     if (last !== undefined) node!.markSynced(last.index, last.term);
-    for (const message of output.afterSync) this.#send(message);
+    for (const message of output.messagesAfterSync) this.#send(message);
   }
 
   #install(member: Member, snapshot: SnapshotData): void {
@@ -235,8 +235,8 @@
     member.writing = undefined;
     member.node = new RaftNode({
       id: member.id,
-      electionMilliseconds: ELECTION_MILLISECONDS,
-      heartbeatMilliseconds: HEARTBEAT_MILLISECONDS,
+      electionTimeoutMilliseconds: ELECTION_MILLISECONDS,
+      heartbeatIntervalMilliseconds: HEARTBEAT_MILLISECONDS,
       random: this.#random,
       now: this.#now,
       hardState: disk.hardState,
@@ -308,7 +308,7 @@
         node,
         members.map((member) => ({ ...member, learner: false })),
       );
-    } else if (node.membershipIsCommitted) this.#repair = undefined;
+    } else if (node.isMembershipCommitted) this.#repair = undefined;
   }
 
   /**
@@ -317,7 +317,7 @@
    */
   #applyMembershipPlan(): void {
     const node = this.#leader()?.node;
-    if (node === undefined || !node.membershipIsCommitted) return;
+    if (node === undefined || !node.isMembershipCommitted) return;
     const now = this.#now * PLAN_TIME_SCALE;
     const candidates = [...this.members.values()].filter((member) =>
       member.node !== undefined && member.node.leaderId === "" &&
@@ -334,18 +334,18 @@
         }),
         askedAt: now,
       })),
-      wantedVoters: this.#wantedVoters,
+      targetVoters: this.#targetVoters,
       heardAt: (id) => node.heardAt(id) * PLAN_TIME_SCALE,
       isCaughtUp: (id) => node.matchIndexOf(id) >= node.commitIndex,
       now,
     });
     if (members !== undefined) this.#changeMembers(node, members);
     const { membership } = node;
-    const isWhole = membership.members.length === this.#wantedVoters &&
+    const isWhole = membership.members.length === this.#targetVoters &&
       membership.members.every(({ id, learner }) =>
         !learner && this.members.has(id)
       );
-    if (isWhole && node.membershipIsCommitted) this.#repair = undefined;
+    if (isWhole && node.isMembershipCommitted) this.#repair = undefined;
   }
 
   #changeMembers(node: RaftNode, members: MemberInit[]): void {
--- a/packages/core/src/contracts/apply_contract_change.ts
+++ b/packages/core/src/contracts/apply_contract_change.ts
@@ -1,5 +1,5 @@
 import { deriveLimits } from "../limits/derive_limits.ts";
-import type { ChangeAnswer } from "../state/change_answer.ts";
+import type { CommandResult } from "../state/command_result.ts";
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 import { decideNumberedChange } from "../state/decide_numbered_change.ts";
@@ -10,7 +10,7 @@
   state: ControlState,
   command: CommandOf<"change-contract">,
   index: number,
-): ChangeAnswer {
+): CommandResult {
   const current = state.contracts.get(command.workspace);
   const decision = decideNumberedChange(
     current,
--- a/packages/core/src/contracts/contract_changes_test.ts
+++ b/packages/core/src/contracts/contract_changes_test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { applyCommand } from "../state/apply_command.ts";
 import type { Command } from "../state/command.ts";
-import { emptyControlState } from "../state/empty_control_state.ts";
+import { createEmptyControlState } from "../state/create_empty_control_state.ts";
 import type { ContractRow } from "./contract_row.ts";
 
 const SEED = 17;
@@ -30,7 +30,7 @@
 test("exactly one of two changes to the same number wins", () => {
   // Two operators change a contract from the same number. One wins; the other
   // gets the current contract as its answer, and none of its change is kept.
-  const state = emptyControlState();
+  const state = createEmptyControlState();
   const first = applyCommand(state, change(0, 10), 1);
   const second = applyCommand(state, change(0, 20), 2);
   assert.ok(first.accepted);
@@ -41,7 +41,7 @@
 });
 
 test("a resent change gets the same answer and is applied once", () => {
-  const state = emptyControlState();
+  const state = createEmptyControlState();
   applyCommand(state, change(0, 10), 1);
   const again = applyCommand(state, change(0, 10), 2);
   assert.ok(again.accepted);
@@ -53,7 +53,7 @@
 });
 
 test("only a retirement or a change wins; retired contracts can return", () => {
-  const state = emptyControlState();
+  const state = createEmptyControlState();
   applyCommand(state, change(0, 10), 1);
   assert.ok(applyCommand(state, change(1, 10, true), 2).accepted);
   assert.ok(!applyCommand(state, change(1, 50), 3).accepted);
@@ -66,7 +66,7 @@
   const step = fc.tuple(fc.nat(6), fc.integer({ min: 1, max: 3 }));
   fc.assert(
     fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
-      const state = emptyControlState();
+      const state = createEmptyControlState();
       const accepted: number[] = [];
       steps.forEach(([expected, rate], index) => {
         const answer = applyCommand(state, change(expected, rate), index + 1);
--- a/packages/core/src/crashes/apply_blame.ts
+++ b/packages/core/src/crashes/apply_blame.ts
@@ -1,4 +1,4 @@
-import type { ChangeAnswer } from "../state/change_answer.ts";
+import type { CommandResult } from "../state/command_result.ts";
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 
@@ -12,7 +12,7 @@
 export function applyBlame(
   state: ControlState,
   command: CommandOf<"blame-request">,
-): ChangeAnswer {
+): CommandResult {
   const { kind: _kind, ...row } = command;
   const existing = state.blamedRequests.get(row.fingerprint);
   if (existing !== undefined && existing.crashes >= row.crashes) {
--- a/packages/core/src/crashes/apply_suspicion.ts
+++ b/packages/core/src/crashes/apply_suspicion.ts
@@ -1,4 +1,4 @@
-import type { ChangeAnswer } from "../state/change_answer.ts";
+import type { CommandResult } from "../state/command_result.ts";
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 
@@ -11,7 +11,7 @@
 export function applySuspicion(
   state: ControlState,
   command: CommandOf<"suspect-request">,
-): ChangeAnswer {
+): CommandResult {
   const { kind: _kind, ...row } = command;
   const { suspectedRequests } = state;
   suspectedRequests.delete(row.fingerprint);
--- a/packages/core/src/crashes/blame_of_row.ts
+++ b/packages/core/src/crashes/blame_from_row.ts
@@ -9,7 +9,7 @@
  * wall clock may have been set back since the blame was stored, so the blame
  * never ends later than one whole term from now.
  */
-export function blameOfRow(row: BlamedRequestRow, now: ClockReadings): Blame {
+export function blameFromRow(row: BlamedRequestRow, now: ClockReadings): Blame {
   const { at, ...blame } = row;
   const age = Math.max(0, now.timeOfDay - at);
   return { ...blame, endsAt: now.monotonic + row.termMilliseconds - age };
--- a/packages/core/src/crashes/crash_ledger.ts
+++ b/packages/core/src/crashes/crash_ledger.ts
@@ -70,7 +70,7 @@
   }
 
   /** Records a report. Returns whether it added new evidence. */
-  report(report: CrashReport, now: number): boolean {
+  recordReport(report: CrashReport, now: number): boolean {
     const { fingerprint, incarnation } = report;
     const blame = this.#blamed.get(fingerprint);
     const culprit = this.#culpritByIncarnation.get(incarnation);
@@ -82,7 +82,7 @@
   }
 
   /** Blames the requests with sufficient evidence, and returns these blames. */
-  decide(now: number): Blame[] {
+  blameSuspects(now: number): Blame[] {
     const newBlames: Blame[] = [];
     for (const [fingerprint, evidence] of this.#settledSuspects(now)) {
       // Blaming an earlier suspect took its crashes off the others' evidence.
@@ -105,7 +105,7 @@
    * Whether `decide` has to be called again: a request has sufficient evidence
    * against it, but more reports of the same crash may still arrive.
    */
-  get isUndecided(): boolean {
+  get hasPendingSuspects(): boolean {
     return [...this.#suspects].some(([fingerprint, { weight }]) =>
       weight >= CRASHES_TO_BLAME && !this.#blamed.has(fingerprint)
     );
@@ -115,7 +115,7 @@
    * Takes over a blame known to another host or stored in the replicated
    * tables. Returns whether it is new or counts more crashes than known here.
    */
-  learn(blame: Blame): boolean {
+  mergeBlame(blame: Blame): boolean {
     const known = this.#blamed.get(blame.fingerprint);
     const isNews = known === undefined || known.crashes < blame.crashes;
     if (isNews) this.#recordBlame(blame);
@@ -128,7 +128,7 @@
    * until that run succeeds and `clear` is called, or until the trial times
    * out.
    */
-  refusal(fingerprint: string, now: number): Blame | undefined {
+  checkBlame(fingerprint: string, now: number): Blame | undefined {
     const blame = this.#blamed.get(fingerprint);
     if (blame === undefined) return undefined;
     if (now < blame.endsAt) return blame;
@@ -147,15 +147,15 @@
    * cause the last crash needed for a blame is left to the client, which may
    * never send the request again.
    */
-  maySendAgain(fingerprint: string): boolean {
-    return this.weightOf(fingerprint) < CRASHES_TO_BLAME - 1;
+  mayRetry(fingerprint: string): boolean {
+    return this.evidenceWeightOf(fingerprint) < CRASHES_TO_BLAME - 1;
   }
 
   /**
    * Number of crashes that are evidence against the request; those before its
    * answer started count half.
    */
-  weightOf(fingerprint: string): number {
+  evidenceWeightOf(fingerprint: string): number {
     return this.#suspects.get(fingerprint)?.weight ?? 0;
   }
 
@@ -169,7 +169,7 @@
     return wasSuspect || wasBlamed;
   }
 
-  blames(): Blame[] {
+  listBlames(): Blame[] {
     return [...this.#blamed.values()];
   }
 
--- a/packages/core/src/crashes/crash_ledger_test.ts
+++ b/packages/core/src/crashes/crash_ledger_test.ts
@@ -29,14 +29,14 @@
 }
 
 function reportAll(to: CrashLedger, reports: CrashReport[], now = 0): void {
-  for (const report of reports) to.report(report, now);
+  for (const report of reports) to.recordReport(report, now);
 }
 
 function decideFingerprints(
   from: CrashLedger,
   now = SETTLE_MILLISECONDS,
 ): string[] {
-  return from.decide(now).map(({ fingerprint }) => fingerprint);
+  return from.blameSuspects(now).map(({ fingerprint }) => fingerprint);
 }
 
 // Guards against a request that crashes one backend server after the other.
@@ -46,8 +46,8 @@
   assert.deepEqual(decideFingerprints(ledger), []);
   reportAll(ledger, [culpritReport("b"), culpritReport("c")], 500);
   assert.deepEqual(decideFingerprints(ledger, 1_000), ["culprit"]);
-  assert.equal(ledger.refusal("culprit", 2_000)?.crashes, 3);
-  assert.equal(ledger.refusal("other", 2_000), undefined);
+  assert.equal(ledger.checkBlame("culprit", 2_000)?.crashes, 3);
+  assert.equal(ledger.checkBlame("other", 2_000), undefined);
 });
 
 // Guards against refusing requests that only ran beside the one at fault.
@@ -90,15 +90,15 @@
 test("one trial run follows the term, and a crash in it doubles the term", () => {
   const ledger = createLedger();
   reportAll(ledger, ["a", "b", "c"].map((name) => culpritReport(name)));
-  const [blame] = ledger.decide(SETTLE_MILLISECONDS);
+  const [blame] = ledger.blameSuspects(SETTLE_MILLISECONDS);
   const trialAt = blame!.endsAt + 1;
-  assert.equal(ledger.refusal("culprit", trialAt), undefined, "the trial");
+  assert.equal(ledger.checkBlame("culprit", trialAt), undefined, "the trial");
   assert.ok(
-    ledger.refusal("culprit", trialAt + 1),
+    ledger.checkBlame("culprit", trialAt + 1),
     "no second one beside it",
   );
-  ledger.report(culpritReport("d"), trialAt + 100);
-  const again = ledger.refusal("culprit", trialAt + LONG_AFTER_MILLISECONDS);
+  ledger.recordReport(culpritReport("d"), trialAt + 100);
+  const again = ledger.checkBlame("culprit", trialAt + LONG_AFTER_MILLISECONDS);
   assert.equal(again?.termMilliseconds, 2 * blame!.termMilliseconds);
 });
 
@@ -117,10 +117,15 @@
 test("a flood of reports stays within bounds, and the culprit is found", () => {
   const ledger = createLedger();
   for (let index = 0; index < 100_000; index += 1) {
-    ledger.report(bystanderReport(`server-${index}`, `request-${index}`), 0);
-    if (index % 30_000 === 0) ledger.report(culpritReport(`end-${index}`), 0);
+    ledger.recordReport(
+      bystanderReport(`server-${index}`, `request-${index}`),
+      0,
+    );
+    if (index % 30_000 === 0) {
+      ledger.recordReport(culpritReport(`end-${index}`), 0);
+    }
     if (index % 1_000 === 0 && index > 0) {
-      ledger.report(
+      ledger.recordReport(
         culpritReport(`end-${Math.floor(index / 30_000) * 30_000}`),
         0,
       );
@@ -173,10 +178,10 @@
   const names = ["a", "b", "c"];
   reportAll(here, names.map((name) => bystanderReport(name)));
   reportAll(there, names.map((name) => culpritReport(name)));
-  for (const blame of there.decide(SETTLE_MILLISECONDS)) {
-    assert.equal(here.learn(blame), true);
-    assert.equal(here.learn(blame), false);
+  for (const blame of there.blameSuspects(SETTLE_MILLISECONDS)) {
+    assert.equal(here.mergeBlame(blame), true);
+    assert.equal(here.mergeBlame(blame), false);
   }
   assert.deepEqual(decideFingerprints(here), []);
-  assert.ok(here.refusal("culprit", MINUTE_MILLISECONDS));
+  assert.ok(here.checkBlame("culprit", MINUTE_MILLISECONDS));
 });
--- a/packages/core/src/gateway/answer_facts.ts
+++ b/packages/core/src/gateway/answer_metadata.ts
@@ -1,5 +1,5 @@
 /** Information in a backend server's response headers that gateways use. */
-export type AnswerFacts = {
+export type AnswerMetadata = {
   /** Id of the attempt that this is the response to; undefined if missing. */
   id: string | undefined;
   /** Whether the response states that the request has not run and won't run. */
--- a/packages/core/src/gateway/apply_routing_replacement.ts
+++ b/packages/core/src/gateway/apply_routing_replacement.ts
@@ -1,4 +1,4 @@
-import type { ChangeAnswer } from "../state/change_answer.ts";
+import type { CommandResult } from "../state/command_result.ts";
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 
@@ -12,7 +12,7 @@
   state: ControlState,
   command: CommandOf<"replace-routing">,
   index: number,
-): ChangeAnswer {
+): CommandResult {
   const { version, document } = command;
   const currentVersion = state.routing?.version ?? -1;
   if (version > currentVersion) state.routing = { version, document, index };
--- a/packages/core/src/gateway/backend_choice.ts
+++ b/packages/core/src/gateway/backend_candidate.ts
@@ -1,11 +1,11 @@
-import type { BackendStanding } from "../membership/backend_standing.ts";
+import type { BackendAnnouncement } from "../membership/backend_announcement.ts";
 import type { BackendRecord } from "./backend_record.ts";
 
 /**
  * A candidate backend server for a request: its last announcement, and this
  * host's record of its load and health.
  */
-export type BackendChoice = {
-  standing: BackendStanding;
+export type BackendCandidate = {
+  standing: BackendAnnouncement;
   record: BackendRecord;
 };
--- a/packages/core/src/gateway/backend_record.ts
+++ b/packages/core/src/gateway/backend_record.ts
@@ -55,12 +55,12 @@
   /** Requests from this host in flight to the backend server. */
   inFlight = 0;
   /** Prompt tokens of this host's in-flight requests without a response yet. */
-  unreadTokens = 0;
+  pendingPromptTokens = 0;
   /**
    * In-flight requests without a response yet that were expected to meet their
    * target. The backend server's queue serves them before late ones.
    */
-  timelyUnread = 0;
+  timelyUnanswered = 0;
   /**
    * Requests that the backend server is assumed to have while it has no recent
    * load report, derived from the mean load of its service's backend servers.
@@ -101,7 +101,7 @@
    * @param age age of the report on arrival, milliseconds. It does not include
    * requests sent within that time.
    */
-  takeReport(report: ReportedLoad, now: number, age = 0): void {
+  recordReport(report: ReportedLoad, now: number, age = 0): void {
     const reportedAt = now - age;
     const unreported =
       this.#recentSendTimes.filter((sentAt) => sentAt > reportedAt).length;
@@ -147,7 +147,7 @@
   }
 
   /** Records a send. Must be called before `inFlight` is incremented. */
-  noteSend(now: number): void {
+  recordSend(now: number): void {
     if (this.inFlight === 0) this.#busySince = now;
     this.#recentSendTimes = this.#recentSendTimes.filter((sentAt) =>
       sentAt > now - MAX_REPORT_DELAY_MILLISECONDS
@@ -156,12 +156,12 @@
   }
 
   /** Records that part of any response arrived from the backend server. */
-  noteHeard(now: number): void {
+  recordDataReceived(now: number): void {
     this.#lastReceivedAt = now;
   }
 
   /** Records the time from sending a request to its response headers. */
-  noteHead(milliseconds: number): void {
+  recordResponseTime(milliseconds: number): void {
     this.#meanResponseTimeMilliseconds += LATEST_DURATION_WEIGHT *
       (milliseconds - this.#meanResponseTimeMilliseconds);
   }
@@ -182,7 +182,7 @@
   }
 
   /** Records the time from a response's headers to its end. */
-  noteHold(milliseconds: number): void {
+  recordSlotHoldTime(milliseconds: number): void {
     this.#slotHoldMilliseconds += LATEST_DURATION_WEIGHT *
       (milliseconds - this.#slotHoldMilliseconds);
   }
@@ -193,7 +193,7 @@
   }
 
   /** Whether the backend server is ejected because of recent failures. */
-  isAside(now: number): boolean {
+  isEjected(now: number): boolean {
     return now < this.#ejectedUntil;
   }
 
@@ -203,18 +203,18 @@
    * data centre is disconnected, each request sent to it loses the time of a
    * failing connection attempt.
    */
-  isPromising(now: number): boolean {
-    if (this.isAside(now) || this.isSilent(now)) return false;
+  isAvailable(now: number): boolean {
+    if (this.isEjected(now) || this.isSilent(now)) return false;
     return !this.#isHalfOpen || this.inFlight === 0;
   }
 
   /** Ends the half-open state because a successful response has begun. */
-  endTrial(): void {
+  endHalfOpen(): void {
     this.#isHalfOpen = false;
   }
 
   /** Records a success; a low failure rate resets the ejection time. */
-  countSuccess(): void {
+  recordSuccess(): void {
     this.#failureRate *= 1 - LATEST_RESULT_WEIGHT;
     if (this.#failureRate < MAX_FAILURE_RATE / 4) {
       this.#nextEjectionMilliseconds = INITIAL_EJECTION_MILLISECONDS;
@@ -225,10 +225,10 @@
    * Records a failure, and ejects the backend server if its failure rate has
    * become too high. Returns whether this call ejected it.
    */
-  countFailure(now: number): boolean {
+  recordFailure(now: number): boolean {
     this.#failureRate += LATEST_RESULT_WEIGHT * (1 - this.#failureRate);
     if (this.#failureRate < MAX_FAILURE_RATE) return false;
-    return this.leaveAside(now);
+    return this.eject(now);
   }
 
   /**
@@ -236,8 +236,8 @@
    * it refuses connections or is unreachable. Returns false if it was ejected
    * already.
    */
-  leaveAside(now: number): boolean {
-    if (this.isAside(now)) return false;
+  eject(now: number): boolean {
+    if (this.isEjected(now)) return false;
     this.#ejectedUntil = now + this.#nextEjectionMilliseconds;
     this.#isHalfOpen = true;
     this.#nextEjectionMilliseconds = Math.min(
--- a/packages/core/src/gateway/backend_record_test.ts
+++ b/packages/core/src/gateway/backend_record_test.ts
@@ -6,7 +6,7 @@
 test("a load report is adjusted for requests sent and ended since", () => {
   const record = new BackendRecord();
   record.inFlight = 2;
-  record.takeReport({ running: 6, waiting: 1, slots: 6 }, 0);
+  record.recordReport({ running: 6, waiting: 1, slots: 6 }, 0);
   assert.equal(record.estimateRequests(10), 7);
   record.inFlight = 5;
   assert.equal(record.estimateRequests(10), 10);
@@ -23,28 +23,28 @@
   let now = 0;
   const failUntilAside = () => {
     let failures = 0;
-    while (!record.isAside(now)) {
-      record.countSuccess();
-      record.countFailure(now);
+    while (!record.isEjected(now)) {
+      record.recordSuccess();
+      record.recordFailure(now);
       failures += 1;
       assert.ok(failures < 20);
     }
     return failures;
   };
   failUntilAside();
-  assert.equal(record.isAside(now + 499), true);
+  assert.equal(record.isEjected(now + 499), true);
   now += 500;
-  assert.equal(record.isAside(now), false);
+  assert.equal(record.isEjected(now), false);
   failUntilAside();
-  assert.equal(record.isAside(now + 999), true);
+  assert.equal(record.isEjected(now + 999), true);
 });
 
 test("retries stay within their share of the requests", () => {
-  const budget = new SharedRetryBudget({ ratio: 0.1, mostSaved: 8 });
+  const budget = new SharedRetryBudget({ ratio: 0.1, maxSavedRetries: 8 });
   let spent = 0;
   for (let request = 0; request < 1_000; request += 1) {
     budget.countRequest();
-    while (budget.trySpend()) spent += 1;
+    while (budget.trySpendRetry()) spent += 1;
   }
   assert.ok(spent <= 1_000 * 0.1 + 8, `${spent}`);
 });
@@ -54,13 +54,13 @@
   // accept requests, and no error occurs until each client has given up.
   const record = new BackendRecord();
   assert.equal(record.isSilent(10_000), false, "nothing is due");
-  record.noteSend(10_000);
+  record.recordSend(10_000);
   record.inFlight = 1;
   assert.equal(record.isSilent(10_600), false);
-  record.noteHeard(10_650);
+  record.recordDataReceived(10_650);
   assert.equal(record.isSilent(11_300), false);
   assert.equal(record.isSilent(11_400), true);
-  record.noteSend(11_400);
+  record.recordSend(11_400);
   record.inFlight = 2;
   assert.equal(record.isSilent(11_400), true, "a send says nothing of it");
   record.inFlight = 0;
@@ -69,8 +69,10 @@
 
 test("a slow service does not count as silent", () => {
   const record = new BackendRecord();
-  for (let answer = 0; answer < 30; answer += 1) record.noteHead(1_000);
-  record.noteSend(0);
+  for (let answer = 0; answer < 30; answer += 1) {
+    record.recordResponseTime(1_000);
+  }
+  record.recordSend(0);
   record.inFlight = 1;
   assert.equal(record.isSilent(2_000), false);
   assert.equal(record.isSilent(5_000), true);
@@ -81,33 +83,33 @@
   // its backend servers ended, all current requests were sent there again, and
   // each lost the time of a failing connection attempt.
   const record = new BackendRecord();
-  record.leaveAside(0);
-  assert.equal(record.isPromising(400), false);
-  assert.equal(record.isPromising(600), true);
-  record.noteSend(600);
+  record.eject(0);
+  assert.equal(record.isAvailable(400), false);
+  assert.equal(record.isAvailable(600), true);
+  record.recordSend(600);
   record.inFlight = 1;
-  assert.equal(record.isPromising(610), false, "one is trying it already");
-  record.leaveAside(750);
+  assert.equal(record.isAvailable(610), false, "one is trying it already");
+  record.eject(750);
   record.inFlight = 0;
-  assert.equal(record.isPromising(1_700), false, "aside for twice as long");
-  assert.equal(record.isPromising(1_800), true);
+  assert.equal(record.isAvailable(1_700), false, "aside for twice as long");
+  assert.equal(record.isAvailable(1_800), true);
   record.inFlight = 1;
-  record.noteSend(1_800);
-  record.noteHeard(1_810);
-  record.endTrial();
-  assert.equal(record.isPromising(1_820), true);
+  record.recordSend(1_800);
+  record.recordDataReceived(1_810);
+  record.endHalfOpen();
+  assert.equal(record.isAvailable(1_820), true);
 });
 
 test("requests sent while a load report was in transit are added to it", () => {
   // An agent's load report on its engine reaches a gateway after 60 ms. At the
   // peak the gateway has sent that engine another request in the meantime.
   const record = new BackendRecord();
-  record.noteSend(0);
+  record.recordSend(0);
   record.inFlight = 1;
-  record.noteSend(950);
+  record.recordSend(950);
   record.inFlight = 2;
-  record.takeReport({ running: 9, waiting: 0, slots: 16 }, 1_000, 60);
+  record.recordReport({ running: 9, waiting: 0, slots: 16 }, 1_000, 60);
   assert.equal(record.estimateRequests(1_000), 10);
-  record.takeReport({ running: 9, waiting: 0, slots: 16 }, 1_100, 60);
+  record.recordReport({ running: 9, waiting: 0, slots: 16 }, 1_100, 60);
   assert.equal(record.estimateRequests(1_100), 9);
 });
--- a/packages/core/src/gateway/choose_backend.ts
+++ b/packages/core/src/gateway/choose_backend.ts
@@ -1,4 +1,4 @@
-import type { BackendChoice } from "./backend_choice.ts";
+import type { BackendCandidate } from "./backend_candidate.ts";
 import type { EngineDefinition } from "./engine_definition.ts";
 
 type Request = {
@@ -54,7 +54,7 @@
 /**
  * Chooses the backend server with the lowest cost among the home backend
  * servers, two other local ones drawn at random, and two drawn at random from
- * other data centres; undefined if there are no choices. The cost is the load
+ * other data centres; undefined if there are no candidates. The cost is the load
  * relative to the slots plus penalties. Pending prompts add to it because an
  * engine prefills a prompt between the decoding steps of all its requests, and
  * so delays all of them.
@@ -65,43 +65,45 @@
  * one in the next. With two at random it gets a fair share of the requests.
  */
 export function chooseBackend(
-  choices: BackendChoice[],
+  candidates: BackendCandidate[],
   request: Request,
-): BackendChoice | undefined {
-  const isLocal = ({ standing }: BackendChoice) =>
+): BackendCandidate | undefined {
+  const isLocal = ({ standing }: BackendCandidate) =>
     standing.dataCentre === request.dataCentre;
-  const isHome = ({ standing }: BackendChoice) =>
+  const isHome = ({ standing }: BackendCandidate) =>
     request.home.has(standing.instance);
-  const home = choices.filter(isHome);
-  const local = choices.filter((choice) => isLocal(choice) && !isHome(choice));
-  const remote = choices.filter((choice) => !isLocal(choice));
-  const candidates = [
+  const home = candidates.filter(isHome);
+  const local = candidates.filter((candidate) =>
+    isLocal(candidate) && !isHome(candidate)
+  );
+  const remote = candidates.filter((candidate) => !isLocal(candidate));
+  const sampled = [
     ...home,
     ...sampleBackends(local, request),
     ...sampleBackends(remote, request),
   ];
-  let cheapest: BackendChoice | undefined;
+  let cheapest: BackendCandidate | undefined;
   let lowestCost = Infinity;
-  for (const choice of candidates) {
-    const cost = computeCost(choice, request);
-    if (cost < lowestCost) [cheapest, lowestCost] = [choice, cost];
+  for (const candidate of sampled) {
+    const cost = computeCost(candidate, request);
+    if (cost < lowestCost) [cheapest, lowestCost] = [candidate, cost];
   }
   return cheapest;
 }
 
 function sampleBackends(
-  choices: BackendChoice[],
+  candidates: BackendCandidate[],
   { random }: Request,
-): BackendChoice[] {
-  const sample = [...choices];
+): BackendCandidate[] {
+  const sample = [...candidates];
   while (sample.length > SAMPLE_SIZE) {
     sample.splice(Math.floor(random() * sample.length), 1);
   }
   return sample;
 }
 
-function computeCost(choice: BackendChoice, request: Request): number {
-  const { standing, record } = choice;
+function computeCost(candidate: BackendCandidate, request: Request): number {
+  const { standing, record } = candidate;
   const { dataCentre, engine, home, random, now } = request;
   const slots = Math.max(1, standing.slots);
   const utilization = record.estimateRequests(now) / slots;
@@ -114,7 +116,7 @@
     ? 0
     : NON_HOME_COST;
   const coldCost = standing.coldMilliseconds > 0 ? COLD_START_COST : 0;
-  const prefillCost = estimatePrefillMilliseconds(choice, engine) /
+  const prefillCost = estimatePrefillMilliseconds(candidate, engine) /
     PREFILL_MILLISECONDS_PER_UNIT_COST;
   return utilization + noFreeSlotCost + localityCost + coldCost + prefillCost +
     MAX_RANDOM_COST * random();
@@ -125,9 +127,9 @@
  * and that have no response yet, milliseconds.
  */
 function estimatePrefillMilliseconds(
-  { record }: BackendChoice,
+  { record }: BackendCandidate,
   engine: EngineDefinition | undefined,
 ): number {
   if (engine === undefined || engine.readTokensPerSecond === 0) return 0;
-  return 1_000 * record.unreadTokens / engine.readTokensPerSecond;
+  return 1_000 * record.pendingPromptTokens / engine.readTokensPerSecond;
 }
--- a/packages/core/src/gateway/choose_backend_test.ts
+++ b/packages/core/src/gateway/choose_backend_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { seededRandom } from "../random/seeded_random.ts";
-import type { BackendChoice } from "./backend_choice.ts";
+import type { BackendCandidate } from "./backend_candidate.ts";
 import { BackendRecord } from "./backend_record.ts";
 import { chooseBackend } from "./choose_backend.ts";
 import type { EngineDefinition } from "./engine_definition.ts";
@@ -28,10 +28,10 @@
   cold?: number;
 };
 
-function choice(fixture: BackendFixture): BackendChoice {
+function candidate(fixture: BackendFixture): BackendCandidate {
   const record = new BackendRecord();
   record.inFlight = fixture.inFlight ?? 0;
-  record.unreadTokens = fixture.pendingTokens ?? 0;
+  record.pendingPromptTokens = fixture.pendingTokens ?? 0;
   return {
     record,
     standing: {
@@ -50,7 +50,7 @@
 }
 
 function choose(...fixtures: BackendFixture[]): string | undefined {
-  return chooseBackend(fixtures.map(choice), {
+  return chooseBackend(fixtures.map(candidate), {
     dataCentre: "here",
     promptTokens: 1_000,
     home: new Set(),
@@ -101,7 +101,7 @@
   const engines = Array.from(
     { length: 8 },
     (_, index) =>
-      choice({ instance: `e${index}`, inFlight: index === 0 ? 4 : 8 }),
+      candidate({ instance: `e${index}`, inFlight: index === 0 ? 4 : 8 }),
   );
   const taken = new Map<string, number>();
   for (let request = 0; request < 800; request += 1) {
@@ -128,7 +128,7 @@
       { instance: "home", inFlight: homeLoad },
       { instance: "other", inFlight: otherLoad },
     ];
-    return chooseBackend(fixtures.map(choice), {
+    return chooseBackend(fixtures.map(candidate), {
       dataCentre: "here",
       promptTokens: 1_000,
       engine: ENGINE,
--- a/packages/core/src/gateway/decide_placement.ts
+++ b/packages/core/src/gateway/decide_placement.ts
@@ -1,4 +1,4 @@
-import type { BackendChoice } from "./backend_choice.ts";
+import type { BackendCandidate } from "./backend_candidate.ts";
 import type { EngineDefinition } from "./engine_definition.ts";
 import { forecastFirstEvent } from "./forecast_first_event.ts";
 import type { Placement } from "./placement.ts";
@@ -43,10 +43,10 @@
  * for a request that could have met its target.
  */
 export function decidePlacement(
-  choice: BackendChoice,
+  candidate: BackendCandidate,
   request: Request,
 ): Placement {
-  const { standing, record } = choice;
+  const { standing, record } = candidate;
   const { engine, promptTokens, now } = request;
   const slots = Math.max(1, standing.slots);
   const forecast = forecastFirstEvent({
@@ -56,7 +56,7 @@
     promptTokens,
     now,
   });
-  const common = { forecast, placedAt: now };
+  const common = { forecast, decidedAt: now };
   const isTimely = forecast.milliseconds <= request.targetLeftMilliseconds;
   if (isTimely) return { kind: "timely", ...common };
   const waiting = forecast.requests - slots;
--- a/packages/core/src/gateway/decide_placement_test.ts
+++ b/packages/core/src/gateway/decide_placement_test.ts
@@ -58,7 +58,7 @@
       if (running[at]!.endsAt > now) continue;
       running.splice(at, 1);
       record.inFlight -= 1;
-      record.noteHold(HOLD_MILLISECONDS);
+      record.recordSlotHoldTime(HOLD_MILLISECONDS);
     }
     while (running.length < ENGINE.slots && queue.length > 0) {
       const timely = queue.findIndex(({ placement }) => placement === "timely");
@@ -66,9 +66,9 @@
       const next = queue.splice(at, 1)[0]!;
       running.push({ endsAt: now + HOLD_MILLISECONDS });
       begun.push({ at: next.at, waited: now - next.at });
-      if (next.placement === "timely") record.timelyUnread -= 1;
+      if (next.placement === "timely") record.timelyUnanswered -= 1;
       const load = { running: running.length, waiting: queue.length };
-      record.takeReport({ ...load, slots: ENGINE.slots }, now);
+      record.recordReport({ ...load, slots: ENGINE.slots }, now);
     }
   };
   const last = arrivals.at(-1)! + 10_000;
@@ -87,12 +87,12 @@
         slotPressure: pressure.share,
         now,
       });
-      pressure.note(forecast!.requests >= ENGINE.slots);
+      pressure.recordRequest(forecast!.requests >= ENGINE.slots);
       if (servesTimelyFirst && placement === "refused") {
         refused += 1;
         continue;
       }
-      if (placement === "timely") record.timelyUnread += 1;
+      if (placement === "timely") record.timelyUnanswered += 1;
       record.inFlight += 1;
       queue.push({ at: now, placement });
       startQueued(now);
@@ -140,9 +140,9 @@
   assert.equal(place(400), "timely");
   assert.equal(place(-500), "late", "it spent its time on an earlier try");
   record.inFlight = ENGINE.slots + 9;
-  record.timelyUnread = 9;
+  record.timelyUnanswered = 9;
   assert.equal(place(400), "refused");
-  record.timelyUnread = 1;
+  record.timelyUnanswered = 1;
   assert.equal(place(400), "timely", "those that wait are late: it goes ahead");
   assert.equal(place(-500), "refused");
 });
--- a/packages/core/src/gateway/event_splitter.ts
+++ b/packages/core/src/gateway/event_splitter.ts
@@ -21,7 +21,7 @@
   #rest: Buffer = EMPTY_BUFFER;
 
   /** Bytes received after the last complete event. */
-  get rest(): Buffer {
+  get incompleteBytes(): Buffer {
     return this.#rest;
   }
 
@@ -29,7 +29,7 @@
    * Adds received bytes, and returns the events that they complete; the bytes
    * after these are kept for the next call.
    */
-  take(bytes: Buffer): CompleteEvents {
+  push(bytes: Buffer): CompleteEvents {
     const all = this.#rest.length === 0
       ? bytes
       : Buffer.concat([this.#rest, bytes]);
--- a/packages/core/src/gateway/event_splitter_test.ts
+++ b/packages/core/src/gateway/event_splitter_test.ts
@@ -16,7 +16,7 @@
     let lastId: string | undefined;
     for (let at = 0; at < text.length;) {
       const size = 1 + Math.floor(random() * 40);
-      const whole = splitter.take(Buffer.from(text.slice(at, at + size)));
+      const whole = splitter.push(Buffer.from(text.slice(at, at + size)));
       at += size;
       seen += whole.bytes.toString();
       lastId = whole.lastId ?? lastId;
@@ -32,8 +32,8 @@
 
 test("the bytes of an incomplete event are kept back", () => {
   const splitter = new EventSplitter();
-  const whole = splitter.take(Buffer.from("id: 4\ndata: a\n\nid: 5\nda"));
+  const whole = splitter.push(Buffer.from("id: 4\ndata: a\n\nid: 5\nda"));
   assert.equal(whole.bytes.toString(), "id: 4\ndata: a\n\n");
   assert.equal(whole.lastId, "4");
-  assert.equal(splitter.rest.toString(), "id: 5\nda");
+  assert.equal(splitter.incompleteBytes.toString(), "id: 5\nda");
 });
--- a/packages/core/src/gateway/find_configuration_fault.ts
+++ b/packages/core/src/gateway/find_configuration_error.ts
@@ -6,7 +6,7 @@
  * Finds a reason to reject a configuration; undefined for a valid one. An
  * invalid configuration is rejected as a whole.
  */
-export function findConfigurationFault(
+export function findConfigurationError(
   configuration: RoutingConfiguration,
 ): Fault | undefined {
   return findTargetFault(configuration) ??
--- a/packages/core/src/gateway/first_event_forecast.ts
+++ b/packages/core/src/gateway/first_event_forecast.ts
@@ -3,9 +3,9 @@
   /** Total time from sending the request to its first event. */
   milliseconds: number;
   /** Part of the total spent waiting for a free slot. */
-  slotMilliseconds: number;
+  slotWaitMilliseconds: number;
   /** Part of the total spent prefilling the prompts ahead and its own. */
-  readingMilliseconds: number;
+  prefillMilliseconds: number;
   /** Estimated requests of all callers at the backend server. */
   requests: number;
 };
--- a/packages/core/src/gateway/forecast_first_event.ts
+++ b/packages/core/src/gateway/forecast_first_event.ts
@@ -35,25 +35,25 @@
   // Only the number of other hosts' requests is known. They are assumed to
   // resemble this host's requests to all backend servers of the service.
   const otherRequests = requests - record.inFlight;
-  const timelyUnanswered = record.timelyUnread +
+  const timelyUnanswered = record.timelyUnanswered +
     otherRequests * record.timelyUnansweredShare;
   const waiting = Math.max(0, requests - slots);
   const timelyAhead = Math.min(timelyUnanswered, waiting);
-  const tokensToPrefill = record.unreadTokens +
+  const tokensToPrefill = record.pendingPromptTokens +
     otherRequests * record.meanPendingPromptTokens +
     promptTokens;
-  const readingMilliseconds = engine.readTokensPerSecond === 0
+  const prefillMilliseconds = engine.readTokensPerSecond === 0
     ? 0
     : tokensToPrefill / engine.readTokensPerSecond * 1_000;
-  const slotMilliseconds = timelyAhead * record.slotHoldMilliseconds /
+  const slotWaitMilliseconds = timelyAhead * record.slotHoldMilliseconds /
     Math.max(1, slots);
   const passMilliseconds = engine.stepMilliseconds * engine.stepsPerPass;
   return {
     milliseconds: BASE_LATENCY_MILLISECONDS +
-      EXPECTED_PASSES * passMilliseconds + readingMilliseconds +
-      slotMilliseconds,
-    slotMilliseconds,
-    readingMilliseconds,
+      EXPECTED_PASSES * passMilliseconds + prefillMilliseconds +
+      slotWaitMilliseconds,
+    slotWaitMilliseconds,
+    prefillMilliseconds,
     requests,
   };
 }
--- a/packages/core/src/gateway/forecast_first_event_test.ts
+++ b/packages/core/src/gateway/forecast_first_event_test.ts
@@ -35,30 +35,30 @@
 test("a request does not wait for requests that have a slot", () => {
   const record = new BackendRecord();
   record.inFlight = SLOTS + 1;
-  record.timelyUnread = 6;
-  const { slotMilliseconds } = forecast(record);
-  assert.equal(slotMilliseconds, record.slotHoldMilliseconds / SLOTS);
+  record.timelyUnanswered = 6;
+  const { slotWaitMilliseconds } = forecast(record);
+  assert.equal(slotWaitMilliseconds, record.slotHoldMilliseconds / SLOTS);
 });
 
 test("there is no wait if a slot is free", () => {
   const record = new BackendRecord();
   record.inFlight = SLOTS - 1;
-  record.timelyUnread = 6;
-  assert.equal(forecast(record).slotMilliseconds, 0);
+  record.timelyUnanswered = 6;
+  assert.equal(forecast(record).slotWaitMilliseconds, 0);
 });
 
 test("a request goes ahead of late requests in the queue", () => {
   const record = new BackendRecord();
   record.inFlight = SLOTS + 8;
-  record.timelyUnread = 1;
-  const { slotMilliseconds } = forecast(record);
-  assert.equal(slotMilliseconds, record.slotHoldMilliseconds / SLOTS);
+  record.timelyUnanswered = 1;
+  const { slotWaitMilliseconds } = forecast(record);
+  assert.equal(slotWaitMilliseconds, record.slotHoldMilliseconds / SLOTS);
 });
 
 test("pending prompts of other hosts count as well", () => {
   const record = new BackendRecord();
   record.meanPendingPromptTokens = 200;
-  record.takeReport({ running: 10, waiting: 0, slots: SLOTS }, 0);
-  const alone = forecast(new BackendRecord()).readingMilliseconds;
-  assert.equal(forecast(record).readingMilliseconds, alone + 100);
+  record.recordReport({ running: 10, waiting: 0, slots: SLOTS }, 0);
+  const alone = forecast(new BackendRecord()).prefillMilliseconds;
+  assert.equal(forecast(record).prefillMilliseconds, alone + 100);
 });
--- a/packages/core/src/gateway/forward_facts.ts
+++ b/packages/core/src/gateway/forward_metadata.ts
@@ -1,5 +1,5 @@
 /** Information that the gateway adds to a request for a backend server. */
-export type ForwardFacts = {
+export type ForwardMetadata = {
   /** Time left of the client's patience. */
   deadlineMilliseconds: number;
   /**
--- a/packages/core/src/gateway/usual_patience.ts
+++ b/packages/core/src/gateway/patience_estimator.ts
@@ -43,7 +43,7 @@
  * connection has less time left, but no header marks the retry. The difference
  * from a first try's patience is the time already spent.
  */
-export class UsualPatience {
+export class PatienceEstimator {
   #samples = new Map<string, number[]>();
 
   /**
@@ -52,7 +52,10 @@
    *
    * @param patience time that the client is still going to wait, milliseconds.
    */
-  spentBefore(route: Route, patience: number | undefined): number {
+  estimateSpentMilliseconds(
+    route: Route,
+    patience: number | undefined,
+  ): number {
     if (patience === undefined) return 0;
     const samples = this.#samplesOf(route.name);
     samples.push(patience);
--- a/packages/core/src/gateway/usual_patience_test.ts
+++ b/packages/core/src/gateway/patience_estimator_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { seededRandom } from "../random/seeded_random.ts";
 import type { Route } from "./route.ts";
-import { UsualPatience } from "./usual_patience.ts";
+import { PatienceEstimator } from "./patience_estimator.ts";
 
 const ROUTE = { name: "r", timeoutMilliseconds: 6_000 } as Route;
 
@@ -10,27 +10,27 @@
 // second less to wait. If taken for a first try, it would go ahead of requests
 // that can still meet their target, although its own response is late anyway.
 test("a retry is recognized by the time already spent", () => {
-  const patience = new UsualPatience();
+  const patience = new PatienceEstimator();
   for (let first = 0; first < 20; first += 1) {
-    assert.equal(patience.spentBefore(ROUTE, 6_030), 0);
+    assert.equal(patience.estimateSpentMilliseconds(ROUTE, 6_030), 0);
   }
-  assert.equal(patience.spentBefore(ROUTE, 5_030), 1_000);
-  assert.equal(patience.spentBefore(ROUTE, 6_030), 0);
-  assert.equal(patience.spentBefore(ROUTE, undefined), 0);
+  assert.equal(patience.estimateSpentMilliseconds(ROUTE, 5_030), 1_000);
+  assert.equal(patience.estimateSpentMilliseconds(ROUTE, 6_030), 0);
+  assert.equal(patience.estimateSpentMilliseconds(ROUTE, undefined), 0);
 });
 
 test("one unusually long timeout makes no other client look like a retry", () => {
-  const patience = new UsualPatience();
-  patience.spentBefore(ROUTE, 60_000);
+  const patience = new PatienceEstimator();
+  patience.estimateSpentMilliseconds(ROUTE, 60_000);
   for (let first = 0; first < 5; first += 1) {
-    patience.spentBefore(ROUTE, 6_030);
+    patience.estimateSpentMilliseconds(ROUTE, 6_030);
   }
-  assert.equal(patience.spentBefore(ROUTE, 6_030), 0);
+  assert.equal(patience.estimateSpentMilliseconds(ROUTE, 6_030), 0);
 });
 
 test("with few samples the route's timeout counts", () => {
-  const patience = new UsualPatience();
-  assert.equal(patience.spentBefore(ROUTE, 4_500), 1_500);
+  const patience = new PatienceEstimator();
+  assert.equal(patience.estimateSpentMilliseconds(ROUTE, 4_500), 1_500);
 });
 
 // An operator raises a route's timeout to 9 s, but its clients still wait 6 s.
@@ -38,12 +38,12 @@
 // queued behind each other, and most were late as long as that timeout applied.
 test("a route's timeout beyond the clients' own marks no first try as a retry", () => {
   const raised = { ...ROUTE, timeoutMilliseconds: 9_000 };
-  const patience = new UsualPatience();
+  const patience = new PatienceEstimator();
   for (let first = 0; first < 20; first += 1) {
-    patience.spentBefore(raised, 6_030);
+    patience.estimateSpentMilliseconds(raised, 6_030);
   }
-  assert.equal(patience.spentBefore(raised, 6_030), 0);
-  assert.equal(patience.spentBefore(raised, 5_000), 1_030);
+  assert.equal(patience.estimateSpentMilliseconds(raised, 6_030), 0);
+  assert.equal(patience.estimateSpentMilliseconds(raised, 5_000), 1_030);
 });
 
 // Clients state how long they wait by their own clocks: between 5.1 and 6 s.
@@ -51,25 +51,27 @@
 // therefore queued behind the others, and got a late response at low load.
 test("clients with different timeouts are not taken for retries", () => {
   const random = seededRandom(7);
-  const patience = new UsualPatience();
+  const patience = new PatienceEstimator();
   const draw = () => 5_100 + 900 * random();
   let returning = 0;
   for (let first = 0; first < 2_000; first += 1) {
-    if (patience.spentBefore(ROUTE, draw()) > 0) returning += 1;
+    if (patience.estimateSpentMilliseconds(ROUTE, draw()) > 0) returning += 1;
   }
   assert.ok(returning < 20, `${returning} of 2,000`);
-  assert.ok(patience.spentBefore(ROUTE, draw() - 1_500) > 500);
+  assert.ok(patience.estimateSpentMilliseconds(ROUTE, draw() - 1_500) > 500);
 });
 
 // After an outage every second request is a retry.
 test("many retries are not taken for first tries", () => {
   const random = seededRandom(8);
-  const patience = new UsualPatience();
+  const patience = new PatienceEstimator();
   const draw = () => 5_100 + 900 * random();
   let found = 0;
   for (let request = 0; request < 1_000; request += 1) {
-    patience.spentBefore(ROUTE, draw());
-    if (patience.spentBefore(ROUTE, draw() - 1_800) > 0) found += 1;
+    patience.estimateSpentMilliseconds(ROUTE, draw());
+    if (patience.estimateSpentMilliseconds(ROUTE, draw() - 1_800) > 0) {
+      found += 1;
+    }
   }
   assert.ok(found > 900, `${found} of 1,000`);
 });
--- a/packages/core/src/gateway/pick_home_backends.ts
+++ b/packages/core/src/gateway/pick_home_backends.ts
@@ -1,4 +1,4 @@
-import type { BackendStanding } from "../membership/backend_standing.ts";
+import type { BackendAnnouncement } from "../membership/backend_announcement.ts";
 import { hashText } from "../random/hash_text.ts";
 
 /** Backend servers of a service in its data centre that a host prefers. */
@@ -22,7 +22,7 @@
  * their load is this host's own requests, which it knows without delay.
  */
 export function pickHomeBackends(
-  standings: readonly BackendStanding[],
+  standings: readonly BackendAnnouncement[],
   { host, dataCentre }: Options,
 ): ReadonlySet<string> {
   const ranked = standings
--- a/packages/core/src/gateway/pick_home_backends_test.ts
+++ b/packages/core/src/gateway/pick_home_backends_test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { BackendStanding } from "../membership/backend_standing.ts";
+import type { BackendAnnouncement } from "../membership/backend_announcement.ts";
 import { pickHomeBackends } from "./pick_home_backends.ts";
 
 const ENGINES = 15;
 const HOSTS = 8;
 
-function standings(dataCentre: string): BackendStanding[] {
+function standings(dataCentre: string): BackendAnnouncement[] {
   return Array.from({ length: ENGINES }, (_, index) => ({
     instance: `${dataCentre}-${index}`,
     service: "s",
--- a/packages/core/src/gateway/placement.ts
+++ b/packages/core/src/gateway/placement.ts
@@ -11,5 +11,5 @@
   /** Undefined without an engine, and for a stream that has already begun. */
   forecast: FirstEventForecast | undefined;
   /** Time of this decision, monotonic milliseconds. */
-  placedAt: number;
+  decidedAt: number;
 };
--- a/packages/core/src/gateway/request_facts.ts
+++ b/packages/core/src/gateway/request_metadata.ts
@@ -1,5 +1,5 @@
 /** Information in a client request's headers that the gateway uses. */
-export type RequestFacts = {
+export type RequestMetadata = {
   /** Identifies one attempt of a client; undefined if missing. */
   id: string | undefined;
   /** How long the client waits for the response; undefined if not given. */
@@ -10,7 +10,7 @@
   model: string | undefined;
   promptTokens: number;
   /** Largest number of tokens that may be generated. */
-  mostOutputTokens: number;
+  maxOutputTokens: number;
   /** The client's estimate of the generated tokens; often far off. */
   expectedOutputTokens: number | undefined;
   /** Id of the event after which the client resumes a stream. */
--- a/packages/core/src/gateway/route_table.ts
+++ b/packages/core/src/gateway/route_table.ts
@@ -46,7 +46,7 @@
     );
   }
 
-  service(name: string): ServiceDefinition | undefined {
+  findService(name: string): ServiceDefinition | undefined {
     return this.#services.get(name);
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** Finds the workspace that owns a key. */
-  workspaceOf(key: string): Workspace | undefined {
+  findWorkspaceByKey(key: string): Workspace | undefined {
     return this.#workspaces.get(key);
   }
 }
--- a/packages/core/src/gateway/route_table_test.ts
+++ b/packages/core/src/gateway/route_table_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { findConfigurationFault } from "./find_configuration_fault.ts";
+import { findConfigurationError } from "./find_configuration_error.ts";
 import { pickTarget } from "./pick_target.ts";
 import { RouteTable } from "./route_table.ts";
 import type { Route } from "./route.ts";
@@ -56,8 +56,8 @@
 
 test("a key maps to its workspace; without workspaces no key is needed", () => {
   const table = new RouteTable(configuration({}));
-  assert.equal(table.workspaceOf("k2")?.name, "desk");
-  assert.equal(table.workspaceOf("k3"), undefined);
+  assert.equal(table.findWorkspaceByKey("k2")?.name, "desk");
+  assert.equal(table.findWorkspaceByKey("k3"), undefined);
   assert.equal(table.needsKey(route({})), true);
   assert.equal(table.needsKey(route({ needsKey: false })), false);
   const open = new RouteTable(configuration({ workspaces: [] }));
@@ -74,7 +74,7 @@
 });
 
 test("an invalid configuration is rejected with the faulty field", () => {
-  assert.equal(findConfigurationFault(configuration({})), undefined);
+  assert.equal(findConfigurationError(configuration({})), undefined);
   const faults = [
     configuration({
       routes: [route({ targets: [{ service: "x", weight: 1 }] })],
@@ -87,6 +87,6 @@
       workspaces: [{ name: "a", keys: ["k"] }, { name: "b", keys: ["k"] }],
     }),
   ];
-  const fields = faults.map((faulty) => findConfigurationFault(faulty)?.field);
+  const fields = faults.map((faulty) => findConfigurationError(faulty)?.field);
   assert.deepEqual(fields, ["drafts", "same", "drafts", "b"]);
 });
--- a/packages/core/src/gateway/routing_state_test.ts
+++ b/packages/core/src/gateway/routing_state_test.ts
@@ -2,14 +2,14 @@
 import { test } from "node:test";
 import { applyCommand } from "../state/apply_command.ts";
 import { decodeControlState } from "../state/decode_control_state.ts";
-import { emptyControlState } from "../state/empty_control_state.ts";
+import { createEmptyControlState } from "../state/create_empty_control_state.ts";
 import { encodeControlState } from "../state/encode_control_state.ts";
 
 test("the highest version stays despite changes with a lower or equal one", () => {
   // Two operators send changes at the same time, and an old change arrives
   // again after a newer one. All are acknowledged, but reads must return the
   // newest one, and never different content of the same version.
-  const state = emptyControlState();
+  const state = createEmptyControlState();
   const replace = (version: number, document: string, index: number) =>
     applyCommand(state, { kind: "replace-routing", version, document }, index);
   assert.equal(replace(4, "four", 1).accepted, true);
@@ -21,7 +21,7 @@
 });
 
 test("the named weights version only increases, and is kept in snapshots", () => {
-  const state = emptyControlState();
+  const state = createEmptyControlState();
   const name = (version: number, index: number) =>
     applyCommand(
       state,
--- a/packages/core/src/gateway/shared_retry_budget.ts
+++ b/packages/core/src/gateway/shared_retry_budget.ts
@@ -2,7 +2,7 @@
   /** Retries that each request adds to the budget. */
   ratio: number;
   /** Maximum number of unused retries that accumulate. */
-  mostSaved: number;
+  maxSavedRetries: number;
 };
 
 /**
@@ -17,26 +17,26 @@
 
   constructor(options: Options) {
     this.#options = options;
-    this.#availableRetries = options.mostSaved;
+    this.#availableRetries = options.maxSavedRetries;
   }
 
   /** Adds one request's share of a retry to the budget. */
   countRequest(): void {
-    const { ratio, mostSaved } = this.#options;
+    const { ratio, maxSavedRetries } = this.#options;
     this.#availableRetries = Math.min(
-      mostSaved,
+      maxSavedRetries,
       this.#availableRetries + ratio,
     );
   }
 
   /** Whether the budget allows a retry now. */
-  get mayBeSpent(): boolean {
+  get hasRetries(): boolean {
     return this.#availableRetries >= 1;
   }
 
   /** Takes one retry from the budget; false if it is exhausted. */
-  trySpend(): boolean {
-    if (!this.mayBeSpent) return false;
+  trySpendRetry(): boolean {
+    if (!this.hasRetries) return false;
     this.#availableRetries -= 1;
     return true;
   }
--- a/packages/core/src/gateway/slot_pressure.ts
+++ b/packages/core/src/gateway/slot_pressure.ts
@@ -23,7 +23,7 @@
    *
    * @param isFull whether the best backend server for it had no free slot.
    */
-  note(isFull: boolean): void {
+  recordRequest(isFull: boolean): void {
     const latest = isFull ? 1 : 0;
     this.#share += LATEST_WEIGHT * (latest - this.#share);
   }
--- a/packages/core/src/gateway/note_usual_load.ts
+++ b/packages/core/src/gateway/update_assumed_load.ts
@@ -1,4 +1,4 @@
-import type { BackendChoice } from "./backend_choice.ts";
+import type { BackendCandidate } from "./backend_candidate.ts";
 
 /**
  * A backend server without a recent load report is assumed to be slightly less
@@ -21,7 +21,10 @@
  * would get the next requests of every host, behind all requests that other
  * hosts have already sent to it.
  */
-export function noteUsualLoad(choices: BackendChoice[], now: number): void {
+export function updateAssumedLoad(
+  candidates: BackendCandidate[],
+  now: number,
+): void {
   const sums = {
     weightedSlots: 0,
     weightedRequests: 0,
@@ -29,19 +32,19 @@
     pendingTokens: 0,
     timely: 0,
   };
-  for (const { standing, record } of choices) {
+  for (const { standing, record } of candidates) {
     const freshness = record.reportFreshness(now);
     sums.weightedSlots += freshness * standing.slots;
     sums.weightedRequests += freshness * record.reportedRequests;
     sums.inFlight += record.inFlight;
-    sums.pendingTokens += record.unreadTokens;
-    sums.timely += record.timelyUnread;
+    sums.pendingTokens += record.pendingPromptTokens;
+    sums.timely += record.timelyUnanswered;
   }
   const utilization = sums.weightedSlots === 0
     ? 0
     : sums.weightedRequests / sums.weightedSlots;
   const requests = Math.max(1, sums.inFlight);
-  for (const { standing, record } of choices) {
+  for (const { standing, record } of candidates) {
     record.assumedRequests = NO_REPORT_LOAD_FACTOR * utilization *
       standing.slots;
     record.meanPendingPromptTokens = sums.pendingTokens / requests;
--- a/packages/core/src/gateway/note_usual_load_test.ts
+++ b/packages/core/src/gateway/update_assumed_load_test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { BackendChoice } from "./backend_choice.ts";
+import type { BackendCandidate } from "./backend_candidate.ts";
 import { BackendRecord } from "./backend_record.ts";
 import { chooseBackend } from "./choose_backend.ts";
-import { noteUsualLoad } from "./note_usual_load.ts";
+import { updateAssumedLoad } from "./update_assumed_load.ts";
 
-function createChoice(instance: string): BackendChoice {
+function createChoice(instance: string): BackendCandidate {
   return {
     record: new BackendRecord(),
     standing: {
@@ -23,9 +23,12 @@
   };
 }
 
-function choose(choices: BackendChoice[], now: number): string | undefined {
-  noteUsualLoad(choices, now);
-  return chooseBackend(choices, {
+function choose(
+  candidates: BackendCandidate[],
+  now: number,
+): string | undefined {
+  updateAssumedLoad(candidates, now);
+  return chooseBackend(candidates, {
     dataCentre: "here",
     promptTokens: 1_000,
     home: new Set(),
@@ -41,10 +44,10 @@
 test("a full engine without a recent load report does not look empty", () => {
   const engines = ["a", "b", "c", "d"].map(createChoice);
   const report = (running: number) => ({ running, waiting: 0, slots: 16 });
-  engines[0]!.record.takeReport(report(16), 0);
-  engines[1]!.record.takeReport(report(11), 2_000);
-  engines[2]!.record.takeReport(report(10), 2_000);
-  engines[3]!.record.takeReport(report(6), 2_000);
+  engines[0]!.record.recordReport(report(16), 0);
+  engines[1]!.record.recordReport(report(11), 2_000);
+  engines[2]!.record.recordReport(report(10), 2_000);
+  engines[3]!.record.recordReport(report(6), 2_000);
   assert.equal(choose(engines, 2_010), "d");
   // Nine tenths of the mean of those with a recent report.
   assert.equal(Math.round(engines[0]!.record.estimateRequests(2_010)), 8);
@@ -58,9 +61,9 @@
 test("an engine without a recent report is tried if the others are full", () => {
   const engines = ["a", "b", "c", "d"].map(createChoice);
   const report = (running: number) => ({ running, waiting: 1, slots: 16 });
-  engines[0]!.record.takeReport(report(2), 0);
+  engines[0]!.record.recordReport(report(2), 0);
   for (const { record } of engines.slice(1)) {
-    record.takeReport(report(16), 5_000);
+    record.recordReport(report(16), 5_000);
   }
   assert.equal(choose(engines, 5_010), "a");
 });
@@ -73,8 +76,8 @@
 
 test("an older load report counts less", () => {
   const engines = ["a", "b"].map(createChoice);
-  engines[0]!.record.takeReport({ running: 0, waiting: 0, slots: 16 }, 0);
-  engines[1]!.record.takeReport({ running: 8, waiting: 0, slots: 16 }, 1_000);
+  engines[0]!.record.recordReport({ running: 0, waiting: 0, slots: 16 }, 0);
+  engines[1]!.record.recordReport({ running: 8, waiting: 0, slots: 16 }, 1_000);
   choose(engines, 1_000);
   const requests = engines[0]!.record.estimateRequests(1_000);
   assert.ok(requests > 2 && requests < 8, `${requests}`);
--- a/packages/core/src/limits/limit_allotter.ts
+++ b/packages/core/src/limits/limit_allotter.ts
@@ -71,7 +71,7 @@
   }
 
   /** Processes a host's report and returns the host's allotments. */
-  takeReport(
+  recordReport(
     state: ControlState,
     report: HostReport,
     now: number,
--- a/packages/core/src/limits/limits_test.ts
+++ b/packages/core/src/limits/limits_test.ts
@@ -5,7 +5,7 @@
 import { applyCommand } from "../state/apply_command.ts";
 import type { Command } from "../state/command.ts";
 import type { ControlState } from "../state/control_state.ts";
-import { emptyControlState } from "../state/empty_control_state.ts";
+import { createEmptyControlState } from "../state/create_empty_control_state.ts";
 import { LimitAllotter } from "./limit_allotter.ts";
 import { WorkspaceLimiter } from "./workspace_limiter.ts";
 
@@ -64,7 +64,7 @@
   readonly hosts: Host[];
   readonly admitted: { at: number; host: string }[] = [];
   refused = 0;
-  #state = emptyControlState();
+  #state = createEmptyControlState();
   #allotter = new LimitAllotter(0, 1);
   #term = 1;
   #index = 0;
@@ -79,7 +79,7 @@
     this.hosts = HOSTS.map((name) => ({
       name,
       limiter: new WorkspaceLimiter(0),
-      state: emptyControlState(),
+      state: createEmptyControlState(),
       allotmentSequence: 0,
       disconnectedUntil: 0,
       reportAt: this.#random() * REPORT_MILLISECONDS,
@@ -166,7 +166,7 @@
     const allotter = this.#allotter;
     this.#deliverLater(host, () => {
       if (allotter !== this.#allotter) return;
-      const answer = allotter.takeReport(this.#state, report, this.now);
+      const answer = allotter.recordReport(this.#state, report, this.now);
       const last = this.#index;
       this.#deliverLater(host, () => {
         this.#applyAll(host, last);
--- a/packages/core/src/membership/backend_standing.ts
+++ b/packages/core/src/membership/backend_announcement.ts
@@ -1,5 +1,5 @@
 /** The latest announcement of a backend server. */
-export type BackendStanding = {
+export type BackendAnnouncement = {
   /** Usually identifies one start of a backend server, but can be reused. */
   instance: string;
   service: string;
--- a/packages/core/src/membership/backend_registry.ts
+++ b/packages/core/src/membership/backend_registry.ts
@@ -1,16 +1,16 @@
-import type { BackendStanding } from "./backend_standing.ts";
-import { isLaterStanding } from "./is_later_standing.ts";
+import type { BackendAnnouncement } from "./backend_announcement.ts";
+import { isLaterAnnouncement } from "./is_later_announcement.ts";
 
 /** Higher than the sequence of any announcement. */
 const LAST_SEQUENCE = Number.MAX_SAFE_INTEGER;
 
-type Entry = { standing: BackendStanding; heardAt: number };
+type Entry = { standing: BackendAnnouncement; heardAt: number };
 
 type Options = {
   /** Time without an announcement after which a backend server is gone. */
-  silentMilliseconds: number;
+  silenceTimeoutMilliseconds: number;
   /** How long a gone backend server is kept, to reject late heartbeats. */
-  forgetMilliseconds: number;
+  goneRetentionMilliseconds: number;
 };
 
 /**
@@ -23,24 +23,24 @@
   #options: Options;
   #entries = new Map<string, Entry>();
   /** Cached, as every request reads it; undefined when it must be rebuilt. */
-  #live: BackendStanding[] | undefined;
+  #live: BackendAnnouncement[] | undefined;
 
   constructor(options: Options) {
     this.#options = options;
   }
 
   /** Returns the backend servers that are not gone. */
-  live(): readonly BackendStanding[] {
+  live(): readonly BackendAnnouncement[] {
     this.#live ??= this.all().filter(({ state }) => state !== "gone");
     return this.#live;
   }
 
   /** Returns all backend servers, including gone ones still remembered. */
-  all(): BackendStanding[] {
+  all(): BackendAnnouncement[] {
     return [...this.#entries.values()].map(({ standing }) => standing);
   }
 
-  get(instance: string): BackendStanding | undefined {
+  get(instance: string): BackendAnnouncement | undefined {
     return this.#entries.get(instance)?.standing;
   }
 
@@ -53,9 +53,9 @@
    * Merges an announcement. Returns the standings that changed in a field that
    * affects routing; empty if the announcement is outdated.
    */
-  take(standing: BackendStanding, now: number): BackendStanding[] {
+  merge(standing: BackendAnnouncement, now: number): BackendAnnouncement[] {
     const known = this.#entries.get(standing.instance);
-    if (known !== undefined && !isLaterStanding(standing, known.standing)) {
+    if (known !== undefined && !isLaterAnnouncement(standing, known.standing)) {
       return [];
     }
     this.#set(standing, now);
@@ -71,7 +71,7 @@
    * Marks an instance that announced its own end as gone. Earlier announcements
    * of the same start that arrive late can't restore it.
    */
-  leave(instance: string, now: number): BackendStanding[] {
+  markGone(instance: string, now: number): BackendAnnouncement[] {
     return this.#markGone(instance, now, LAST_SEQUENCE);
   }
 
@@ -79,16 +79,19 @@
    * Marks silent instances as gone and forgets those that have been gone for
    * long. Returns the standings newly marked as gone.
    */
-  expire(now: number): BackendStanding[] {
-    const { silentMilliseconds, forgetMilliseconds } = this.#options;
-    const ended: BackendStanding[] = [];
+  expire(now: number): BackendAnnouncement[] {
+    const { silenceTimeoutMilliseconds, goneRetentionMilliseconds } =
+      this.#options;
+    const ended: BackendAnnouncement[] = [];
     for (const [instance, { standing, heardAt }] of [...this.#entries]) {
       const silence = now - heardAt;
       if (standing.state !== "gone") {
-        if (silence > silentMilliseconds) {
+        if (silence > silenceTimeoutMilliseconds) {
           ended.push(...this.#markGone(instance, now, standing.sequence));
         }
-      } else if (silence > forgetMilliseconds) this.#entries.delete(instance);
+      } else if (silence > goneRetentionMilliseconds) {
+        this.#entries.delete(instance);
+      }
     }
     return ended;
   }
@@ -97,23 +100,26 @@
     instance: string,
     now: number,
     sequence: number,
-  ): BackendStanding[] {
+  ): BackendAnnouncement[] {
     const known = this.#entries.get(instance)?.standing;
     if (known === undefined || known.state === "gone") return [];
-    const standing: BackendStanding = { ...known, state: "gone", sequence };
+    const standing: BackendAnnouncement = { ...known, state: "gone", sequence };
     this.#set(standing, now);
     return [standing];
   }
 
-  #set(standing: BackendStanding, heardAt: number): void {
+  #set(standing: BackendAnnouncement, heardAt: number): void {
     this.#entries.set(standing.instance, { standing, heardAt });
     this.#live = undefined;
   }
 
   /** Marks earlier backend servers at the address gone: it has only one. */
-  #endPredecessorsAt(latest: BackendStanding, now: number): BackendStanding[] {
+  #endPredecessorsAt(
+    latest: BackendAnnouncement,
+    now: number,
+  ): BackendAnnouncement[] {
     if (latest.state === "gone") return [];
-    const ended: BackendStanding[] = [];
+    const ended: BackendAnnouncement[] = [];
     for (const [instance, { standing }] of [...this.#entries]) {
       if (
         instance === latest.instance || standing.state === "gone" ||
@@ -127,8 +133,8 @@
 }
 
 function isEquivalentForRouting(
-  left: BackendStanding,
-  right: BackendStanding,
+  left: BackendAnnouncement,
+  right: BackendAnnouncement,
 ): boolean {
   return left.state === right.state && left.bornAt === right.bornAt &&
     left.address === right.address && left.service === right.service &&
--- a/packages/core/src/membership/backend_registry_test.ts
+++ b/packages/core/src/membership/backend_registry_test.ts
@@ -2,9 +2,9 @@
 import { test } from "node:test";
 import { seededRandom } from "../random/seeded_random.ts";
 import { BackendRegistry } from "./backend_registry.ts";
-import type { BackendStanding } from "./backend_standing.ts";
+import type { BackendAnnouncement } from "./backend_announcement.ts";
 
-function standing(change: Partial<BackendStanding>): BackendStanding {
+function standing(change: Partial<BackendAnnouncement>): BackendAnnouncement {
   return {
     instance: "i-1",
     service: "ledger",
@@ -22,8 +22,8 @@
 
 function registry(): BackendRegistry {
   return new BackendRegistry({
-    silentMilliseconds: 6_000,
-    forgetMilliseconds: 60_000,
+    silenceTimeoutMilliseconds: 6_000,
+    goneRetentionMilliseconds: 60_000,
   });
 }
 
@@ -31,25 +31,25 @@
   // A backend server announces that it leaves, and is gone. A heartbeat that it
   // sent before, delayed by a cut link, arrives after that.
   const known = registry();
-  known.take(standing({ sequence: 5 }), 0);
-  assert.equal(known.leave("i-1", 10).length, 1);
-  assert.deepEqual(known.take(standing({ sequence: 7 }), 20), []);
+  known.merge(standing({ sequence: 5 }), 0);
+  assert.equal(known.markGone("i-1", 10).length, 1);
+  assert.deepEqual(known.merge(standing({ sequence: 7 }), 20), []);
   assert.deepEqual(known.live(), []);
 });
 
 test("a start that reuses an instance id replaces the earlier start", () => {
   const known = registry();
-  known.take(standing({ sequence: 900 }), 0);
-  known.leave("i-1", 10);
-  known.take(standing({ bornAt: 2_000, sequence: 1 }), 20);
+  known.merge(standing({ sequence: 900 }), 0);
+  known.markGone("i-1", 10);
+  known.merge(standing({ bornAt: 2_000, sequence: 1 }), 20);
   assert.equal(known.live()[0]?.bornAt, 2_000);
-  assert.deepEqual(known.take(standing({ sequence: 901 }), 30), []);
+  assert.deepEqual(known.merge(standing({ sequence: 901 }), 30), []);
 });
 
 test("a new instance ends the earlier one at the same address", () => {
   const known = registry();
-  known.take(standing({}), 0);
-  const changed = known.take(
+  known.merge(standing({}), 0);
+  const changed = known.merge(
     standing({ instance: "i-2", service: "portal", bornAt: 5_000 }),
     10,
   );
@@ -61,17 +61,17 @@
 
 test("a silent backend server returns with its next announcement", () => {
   const known = registry();
-  known.take(standing({}), 0);
+  known.merge(standing({}), 0);
   assert.equal(known.expire(5_000).length, 0);
   assert.equal(known.expire(6_001)[0]?.state, "gone");
-  assert.equal(known.take(standing({ sequence: 2 }), 6_100).length, 1);
+  assert.equal(known.merge(standing({ sequence: 2 }), 6_100).length, 1);
   assert.equal(known.live().length, 1);
 });
 
 test("hosts that get the same announcements in any order agree", () => {
   const random = seededRandom(7);
   for (let round = 0; round < 300; round += 1) {
-    const announcements: BackendStanding[] = [];
+    const announcements: BackendAnnouncement[] = [];
     for (let start = 1; start <= 2; start += 1) {
       for (let sequence = 1; sequence <= 4; sequence += 1) {
         const state = random() < 0.3 ? "leaving" : "ready";
@@ -81,8 +81,8 @@
     const shuffled = [...announcements].sort(() => random() - 0.5);
     const left = registry();
     const right = registry();
-    for (const announcement of announcements) left.take(announcement, 0);
-    for (const announcement of shuffled) right.take(announcement, 0);
+    for (const announcement of announcements) left.merge(announcement, 0);
+    for (const announcement of shuffled) right.merge(announcement, 0);
     assert.deepEqual(left.all(), right.all());
   }
 });
--- a/packages/core/src/membership/is_later_standing.ts
+++ b/packages/core/src/membership/is_later_announcement.ts
@@ -1,13 +1,13 @@
-import type { BackendStanding } from "./backend_standing.ts";
+import type { BackendAnnouncement } from "./backend_announcement.ts";
 
 /**
  * Whether a standing supersedes the known one of the same instance. A heartbeat
  * that was delayed by a partition can arrive after its sender's end or next
  * start, and must not restore the state that it announces.
  */
-export function isLaterStanding(
-  candidate: BackendStanding,
-  known: BackendStanding,
+export function isLaterAnnouncement(
+  candidate: BackendAnnouncement,
+  known: BackendAnnouncement,
 ): boolean {
   if (candidate.bornAt !== known.bornAt) {
     return candidate.bornAt > known.bornAt;
--- a/packages/core/src/membership/may_open_next.ts
+++ b/packages/core/src/membership/may_open_next_stream.ts
@@ -16,7 +16,7 @@
  * stream after the other, the first streams of all processes precede any second
  * one, and one stream is enough to serve.
  */
-export function mayOpenNext(openings: Opening[], now: number): boolean {
+export function mayOpenNextStream(openings: Opening[], now: number): boolean {
   return openings.every(({ openedAt, isHeard }) =>
     isHeard || now - openedAt > OPEN_TIMEOUT_MILLISECONDS
   );
--- a/packages/core/src/membership/may_open_next_test.ts
+++ b/packages/core/src/membership/may_open_next_stream_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { mayOpenNext } from "./may_open_next.ts";
+import { mayOpenNextStream } from "./may_open_next_stream.ts";
 
 const PROCESSES = 100;
 const STREAMS = 3;
@@ -10,7 +10,7 @@
  * Simulates processes that connect to a host which accepts one stream at a
  * time. Returns when each process's first stream is accepted, in order.
  */
-function simulateOutage(mayOpen: typeof mayOpenNext): number[] {
+function simulateOutage(mayOpen: typeof mayOpenNextStream): number[] {
   const streams = Array.from(
     { length: PROCESSES },
     () => [] as { openedAt: number; isHeard: boolean }[],
@@ -37,7 +37,7 @@
 // A hundred processes connect to one host that has just started. Guards against
 // the last of them being accepted only after the third streams of the others.
 test("the first streams of all processes precede any second one", () => {
-  const ordered = simulateOutage(mayOpenNext);
+  const ordered = simulateOutage(mayOpenNextStream);
   const allAtOnce = simulateOutage(() => true);
   const last = (heardAt: number[]) => heardAt.at(-1)!;
   assert.ok(
@@ -49,7 +49,7 @@
 // Guards against a lost first host that keeps a process from all other hosts.
 test("a silent host delays the next stream only briefly", () => {
   const silent = [{ openedAt: 0, isHeard: false }];
-  assert.equal(mayOpenNext(silent, 400), false);
-  assert.equal(mayOpenNext(silent, 600), true);
-  assert.equal(mayOpenNext([], 0), true);
+  assert.equal(mayOpenNextStream(silent, 400), false);
+  assert.equal(mayOpenNextStream(silent, 600), true);
+  assert.equal(mayOpenNextStream([], 0), true);
 });
--- a/packages/core/src/membership/plan_membership.ts
+++ b/packages/core/src/membership/plan_membership.ts
@@ -9,7 +9,7 @@
   members: Member[];
   candidates: Candidate[];
   /** Number of voters to reach once there are enough hosts. */
-  wantedVoters: number;
+  targetVoters: number;
   heardAt: (id: string) => number;
   isCaughtUp: (id: string) => boolean;
   now: number;
@@ -87,7 +87,7 @@
 
 function promoteLearner(view: MembershipView): Member[] | undefined {
   const voters = view.members.filter(({ learner }) => !learner);
-  if (voters.length >= view.wantedVoters) return undefined;
+  if (voters.length >= view.targetVoters) return undefined;
   const votersIn = (dataCentre: string) =>
     voters.filter((voter) => voter.dataCentre === dataCentre).length;
   const [next] = readyLearners(view).sort((left, right) =>
--- a/packages/core/src/membership/plan_membership_test.ts
+++ b/packages/core/src/membership/plan_membership_test.ts
@@ -29,7 +29,7 @@
     selfId: "a",
     members: [member("a"), member("b"), member("c")],
     candidates: [],
-    wantedVoters: 3,
+    targetVoters: 3,
     heardAt: (id) => silent.includes(id) ? NOW - 20_000 : NOW,
     isCaughtUp: () => true,
     now: NOW,
--- a/packages/core/src/named_limits/limit_division.ts
+++ b/packages/core/src/named_limits/limit_division.ts
@@ -35,9 +35,11 @@
   }
 
   /** Whether it says something later than what is known. */
-  name(limit: NamedLimit, now: number): boolean {
+  recordLimit(limit: NamedLimit, now: number): boolean {
     const known = this.#entries.get(limit.incarnation);
-    if (known !== undefined && known.limit.saidAt >= limit.saidAt) return false;
+    if (known !== undefined && known.limit.announcedAt >= limit.announcedAt) {
+      return false;
+    }
     const entry = known ?? this.#createEntry(limit, now);
     const isNews = entry.limit.perSecond !== limit.perSecond ||
       known === undefined;
@@ -47,7 +49,7 @@
   }
 
   /** Records a host's demand for a backend server that announced a limit. */
-  want(
+  recordDemand(
     incarnation: string,
     demand: { host: string; perSecond: number },
     now: number,
@@ -63,7 +65,10 @@
   }
 
   /** The host's part of each limit, from 0 to 1; 0 without recent demand. */
-  partsOf(host: string, now: number): { limit: NamedLimit; part: number }[] {
+  computeParts(
+    host: string,
+    now: number,
+  ): { limit: NamedLimit; part: number }[] {
     return [...this.#entries.values()].map(({ limit, demands }) => {
       const live = [...demands.entries()].filter(([, { at }]) =>
         now - at <= DEMAND_TIMEOUT_MILLISECONDS
@@ -77,7 +82,9 @@
   }
 
   /** Recent demand of all hosts, for another control host that also divides. */
-  all(now: number): { limit: NamedLimit; host: string; perSecond: number }[] {
+  listDemands(
+    now: number,
+  ): { limit: NamedLimit; host: string; perSecond: number }[] {
     return [...this.#entries.values()].flatMap(({ limit, demands }) =>
       [...demands]
         .filter(([, { at }]) => now - at <= DEMAND_TIMEOUT_MILLISECONDS)
--- a/packages/core/src/named_limits/limit_part.ts
+++ b/packages/core/src/named_limits/limit_part_bucket.ts
@@ -55,7 +55,7 @@
  * while no request is rejected, it saves only its part of a shared burst: with
  * many hosts a fraction of a request.
  */
-export class LimitPart {
+export class LimitPartBucket {
   #perSecond: number;
   #random: () => number;
   /** Tokens, in [0, 1), at which the next request may be sent. */
@@ -87,7 +87,7 @@
   }
 
   /** Sets the part that a control host assigned to this host, from 0 to 1. */
-  tell(part: number, now: number): void {
+  assignPart(part: number, now: number): void {
     this.#refill(now);
     this.#assignments.push({ part, at: now });
     this.#assignments = this.#recentAssignments(now);
@@ -97,12 +97,12 @@
    * When a control host last assigned a part, monotonic milliseconds; undefined
    * if never.
    */
-  get toldAt(): number | undefined {
+  get assignedAt(): number | undefined {
     return this.#assignments.at(-1)?.at;
   }
 
   /** Counts a request that this host would send there, admitted or not. */
-  want(now: number): void {
+  recordDemand(now: number): void {
     this.#decayDemand(now);
     this.#demand.sum += 1;
     this.#lastDemandAt = now;
@@ -138,7 +138,7 @@
    * Whether a request that would best go to this backend server may be sent
    * there now. Remembers a rejection, which lets the host save more tokens.
    */
-  admits(now: number): boolean {
+  admit(now: number): boolean {
     const hasRoom = this.hasRoom(now);
     if (!hasRoom) this.#rejectedAt = now;
     return hasRoom;
@@ -158,7 +158,7 @@
   }
 
   /** Milliseconds from now until the next request may be sent. */
-  untilRoom(now: number): number {
+  millisecondsUntilCapacity(now: number): number {
     this.#refill(now);
     const rate = Math.max(
       this.rate(now),
--- a/packages/core/src/named_limits/named_limit.ts
+++ b/packages/core/src/named_limits/named_limit.ts
@@ -10,5 +10,5 @@
    * When the backend server announced it, in monotonic milliseconds of the host
    * that stores this object.
    */
-  saidAt: number;
+  announcedAt: number;
 };
--- a/packages/core/src/named_limits/named_limits_test.ts
+++ b/packages/core/src/named_limits/named_limits_test.ts
@@ -1,10 +1,10 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DueNews } from "../news/due_news.ts";
+import { DueNewsSelector } from "../news/due_news_selector.ts";
 import { seededRandom } from "../random/seeded_random.ts";
 import { LimitDivision } from "./limit_division.ts";
-import { LimitPart } from "./limit_part.ts";
+import { LimitPartBucket } from "./limit_part_bucket.ts";
 
 const STEP_MILLISECONDS = 10;
 const REPORT_MILLISECONDS = 250;
@@ -13,7 +13,7 @@
 const RUN_MILLISECONDS = 24_000;
 /** After this long the hosts together must keep to the limit. */
 const STARTUP_MILLISECONDS = 3_000;
-const DUE_NEWS_OPTIONS = { restMilliseconds: 1_000, mostPerSecond: 55 };
+const DUE_NEWS_OPTIONS = { refreshMilliseconds: 1_000, maxPerSecond: 55 };
 const INCARNATION = "one@1";
 const SURGE_FACTOR = 100;
 const MOVE_MILLISECONDS = 2_000;
@@ -22,9 +22,9 @@
 
 type Host = {
   name: string;
-  part: LimitPart;
+  part: LimitPartBucket;
   /** Parts that the control host assigned to this host lately. */
-  due: DueNews;
+  due: DueNewsSelector;
   /** Requests a second that this host would send to the backend server. */
   wants: number;
   disconnectedUntil: number;
@@ -61,8 +61,8 @@
     this.#random = seededRandom(plan.seed);
     this.hosts = plan.wants.map((wants, index) => ({
       name: `host-${index}`,
-      part: new LimitPart(plan.perSecond, 0, this.#random),
-      due: new DueNews(DUE_NEWS_OPTIONS),
+      part: new LimitPartBucket(plan.perSecond, 0, this.#random),
+      due: new DueNewsSelector(DUE_NEWS_OPTIONS),
       wants,
       disconnectedUntil: -1,
       sent: [],
@@ -104,7 +104,7 @@
       if (kind === "cut") faulty.disconnectedUntil = this.#now + 4_000;
       if (kind === "control") this.#division = new LimitDivision();
       if (kind === "restart") {
-        faulty.part = new LimitPart(
+        faulty.part = new LimitPartBucket(
           this.#plan.perSecond,
           this.#now,
           this.#random,
@@ -116,8 +116,8 @@
   #simulateArrival(host: Host): void {
     const chance = host.wants * STEP_MILLISECONDS / 1_000;
     if (this.#random() >= chance) return;
-    host.part.want(this.#now);
-    if (!host.part.admits(this.#now)) return;
+    host.part.recordDemand(this.#now);
+    if (!host.part.admit(this.#now)) return;
     host.part.take(this.#now);
     host.sent.push(this.#now);
   }
@@ -128,21 +128,21 @@
       const limit = {
         incarnation: INCARNATION,
         perSecond: this.#plan.perSecond,
-        saidAt: this.#now,
+        announcedAt: this.#now,
       };
-      this.#division.name(limit, this.#now);
+      this.#division.recordLimit(limit, this.#now);
       const wanted = { host: host.name, perSecond };
-      this.#division.want(INCARNATION, wanted, this.#now);
+      this.#division.recordDemand(INCARNATION, wanted, this.#now);
     });
   }
 
   #assignParts(): void {
     for (const host of this.hosts) {
-      const [assigned] = this.#division.partsOf(host.name, this.#now);
+      const [assigned] = this.#division.computeParts(host.name, this.#now);
       if (assigned === undefined) continue;
       const item = { key: INCARNATION, value: assigned.part };
       if (host.due.select([item], this.#now).length === 0) continue;
-      this.#send(host, () => host.part.tell(assigned.part, this.#now));
+      this.#send(host, () => host.part.assignPart(assigned.part, this.#now));
     }
   }
 
@@ -296,33 +296,36 @@
 
 test("a host that reports no demand for a while loses its part", () => {
   const division = new LimitDivision();
-  const limit = { incarnation: INCARNATION, perSecond: 2, saidAt: 0 };
-  division.name(limit, 0);
-  division.want(INCARNATION, { host: "a", perSecond: 5 }, 0);
-  division.want(INCARNATION, { host: "b", perSecond: 5 }, 0);
-  assert.equal(division.partsOf("a", 100)[0]!.part, 0.5);
-  division.want(INCARNATION, { host: "a", perSecond: 5 }, 3_000);
-  assert.equal(division.partsOf("a", 3_000)[0]!.part, 1);
+  const limit = { incarnation: INCARNATION, perSecond: 2, announcedAt: 0 };
+  division.recordLimit(limit, 0);
+  division.recordDemand(INCARNATION, { host: "a", perSecond: 5 }, 0);
+  division.recordDemand(INCARNATION, { host: "b", perSecond: 5 }, 0);
+  assert.equal(division.computeParts("a", 100)[0]!.part, 0.5);
+  division.recordDemand(INCARNATION, { host: "a", perSecond: 5 }, 3_000);
+  assert.equal(division.computeParts("a", 3_000)[0]!.part, 1);
 });
 
 test("the latest announcement applies, in whatever order they arrive", () => {
   const division = new LimitDivision();
-  const announce = (perSecond: number | undefined, saidAt: number) =>
-    division.name({ incarnation: INCARNATION, perSecond, saidAt }, 100);
+  const announce = (perSecond: number | undefined, announcedAt: number) =>
+    division.recordLimit(
+      { incarnation: INCARNATION, perSecond, announcedAt },
+      100,
+    );
   assert.equal(announce(2, 10), true);
   assert.equal(announce(undefined, 30), true);
   assert.equal(announce(2, 20), false);
-  const [assigned] = division.partsOf("a", 100);
+  const [assigned] = division.computeParts("a", 100);
   assert.equal(assigned!.limit.perSecond, undefined);
 });
 
 test("a part shrinks at once, and grows after the others had time to shrink", () => {
-  const part = new LimitPart(10, 0, seededRandom(1));
-  part.tell(0.5, 0);
-  part.tell(0.2, 100);
+  const part = new LimitPartBucket(10, 0, seededRandom(1));
+  part.assignPart(0.5, 0);
+  part.assignPart(0.2, 100);
   assert.equal(part.part(100), 0.2);
-  part.tell(0.8, 200);
+  part.assignPart(0.8, 200);
   assert.equal(part.part(200), 0.2);
-  part.tell(0.8, 1_201);
+  part.assignPart(0.8, 1_201);
   assert.equal(part.part(1_201), 0.8);
 });
--- a/packages/core/src/news/due_news.ts
+++ b/packages/core/src/news/due_news_selector.ts
@@ -1,4 +1,4 @@
-import { NewsBudget } from "./news_budget.ts";
+import { NewsRateLimiter } from "./news_rate_limiter.ts";
 
 /**
  * Only a change by more than this share of the larger of the two values is sent
@@ -8,25 +8,25 @@
 
 type Options = {
   /** Interval at which unchanged values are sent again. */
-  restMilliseconds: number;
-  mostPerSecond: number;
+  refreshMilliseconds: number;
+  maxPerSecond: number;
 };
 
 type Item = { key: string; value: number };
 
 /**
  * Selects which of many values to send now, within a rate limit: new ones,
- * significantly changed ones, and those not sent for `restMilliseconds`. Those
+ * significantly changed ones, and those not sent for `refreshMilliseconds`. Those
  * sent longest ago come first.
  */
-export class DueNews {
+export class DueNewsSelector {
   #options: Options;
-  #budget: NewsBudget;
+  #rateLimiter: NewsRateLimiter;
   #lastSent = new Map<string, { value: number; at: number }>();
 
   constructor(options: Options) {
     this.#options = options;
-    this.#budget = new NewsBudget(options.mostPerSecond);
+    this.#rateLimiter = new NewsRateLimiter(options.maxPerSecond);
   }
 
   /**
@@ -40,7 +40,7 @@
     }
     const due = items.filter((item) => this.#isDue(item, now))
       .sort((left, right) => this.#lastSentAt(left) - this.#lastSentAt(right));
-    const chosen = due.slice(0, this.#budget.take(due.length, now));
+    const chosen = due.slice(0, this.#rateLimiter.take(due.length, now));
     for (const { key, value } of chosen) {
       this.#lastSent.set(key, { value, at: now });
     }
@@ -50,7 +50,7 @@
   #isDue({ key, value }: Item, now: number): boolean {
     const last = this.#lastSent.get(key);
     if (last === undefined) return true;
-    if (now - last.at >= this.#options.restMilliseconds) return true;
+    if (now - last.at >= this.#options.refreshMilliseconds) return true;
     const change = Math.abs(value - last.value);
     return change > SIGNIFICANT_CHANGE_SHARE * Math.max(value, last.value);
   }
--- a/packages/core/src/news/due_news_test.ts
+++ b/packages/core/src/news/due_news_selector_test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { DueNews } from "./due_news.ts";
+import { DueNewsSelector } from "./due_news_selector.ts";
 
 const REST_MILLISECONDS = 1_000;
 
 function select(
-  news: DueNews,
+  news: DueNewsSelector,
   values: Record<string, number>,
   now: number,
 ): string[] {
@@ -14,9 +14,9 @@
 }
 
 test("changed values are sent at once, unchanged ones at intervals", () => {
-  const news = new DueNews({
-    restMilliseconds: REST_MILLISECONDS,
-    mostPerSecond: 100,
+  const news = new DueNewsSelector({
+    refreshMilliseconds: REST_MILLISECONDS,
+    maxPerSecond: 100,
   });
   assert.deepEqual(select(news, { a: 1, b: 1 }, 0), ["a", "b"]);
   assert.deepEqual(select(news, { a: 1.1, b: 2 }, 100), ["b"]);
@@ -26,9 +26,9 @@
 
 // Guards against sending the same few of many values again and again.
 test("if the budget is exceeded, values sent longest ago come first", () => {
-  const news = new DueNews({
-    restMilliseconds: REST_MILLISECONDS,
-    mostPerSecond: 2,
+  const news = new DueNewsSelector({
+    refreshMilliseconds: REST_MILLISECONDS,
+    maxPerSecond: 2,
   });
   const values = { a: 1, b: 1, c: 1 };
   assert.deepEqual(select(news, values, 0), ["a", "b"]);
--- a/packages/core/src/news/news_budget.ts
+++ b/packages/core/src/news/news_rate_limiter.ts
@@ -4,13 +4,13 @@
  * Limits the updates that a host sends per second, in fixed windows, even when
  * an incident causes many more.
  */
-export class NewsBudget {
-  #mostPerSecond: number;
+export class NewsRateLimiter {
+  #maxPerSecond: number;
   #windowStartedAt = -Infinity;
   #sentInWindow = 0;
 
-  constructor(mostPerSecond: number) {
-    this.#mostPerSecond = mostPerSecond;
+  constructor(maxPerSecond: number) {
+    this.#maxPerSecond = maxPerSecond;
   }
 
   /** Returns how many of `wanted` updates may be sent now, and counts them. */
@@ -19,7 +19,7 @@
       this.#windowStartedAt = now;
       this.#sentInWindow = 0;
     }
-    const granted = Math.min(wanted, this.#mostPerSecond - this.#sentInWindow);
+    const granted = Math.min(wanted, this.#maxPerSecond - this.#sentInWindow);
     this.#sentInWindow += granted;
     return granted;
   }
--- a/packages/core/src/news/news_budget_test.ts
+++ b/packages/core/src/news/news_rate_limiter_test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { NewsBudget } from "./news_budget.ts";
+import { NewsRateLimiter } from "./news_rate_limiter.ts";
 
 // Guards against a flood of reports that uses up the bandwidth of all else.
 test("no more updates per second are allowed than the budget", () => {
-  const budget = new NewsBudget(10);
+  const budget = new NewsRateLimiter(10);
   assert.equal(budget.take(8, 0), 8);
   assert.equal(budget.take(8, 500), 2);
   assert.equal(budget.take(8, 999), 0);
--- a/packages/core/src/rollout/apply_named_weights.ts
+++ b/packages/core/src/rollout/apply_named_weights.ts
@@ -1,4 +1,4 @@
-import type { ChangeAnswer } from "../state/change_answer.ts";
+import type { CommandResult } from "../state/command_result.ts";
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 
@@ -10,7 +10,7 @@
   state: ControlState,
   command: CommandOf<"name-weights">,
   index: number,
-): ChangeAnswer {
+): CommandResult {
   const { model, version, at } = command;
   const current = state.namedWeights.get(model);
   if (current === undefined || version > current.version) {
--- a/packages/core/src/rollout/apply_permit_request.ts
+++ b/packages/core/src/rollout/apply_permit_request.ts
@@ -1,5 +1,5 @@
 import { versionName } from "../spread/version_name.ts";
-import type { ChangeAnswer } from "../state/change_answer.ts";
+import type { CommandResult } from "../state/command_result.ts";
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 import type { PermitRow } from "./permit_row.ts";
@@ -20,7 +20,7 @@
   state: ControlState,
   command: CommandOf<"request-permit">,
   index: number,
-): ChangeAnswer {
+): CommandResult {
   const weights = state.weights.get(command.service);
   if (
     weights === undefined || versionName(weights.manifest) !== command.version
--- a/packages/core/src/rollout/apply_publication.ts
+++ b/packages/core/src/rollout/apply_publication.ts
@@ -1,4 +1,4 @@
-import type { ChangeAnswer } from "../state/change_answer.ts";
+import type { CommandResult } from "../state/command_result.ts";
 import type { CommandOf } from "../state/command_of.ts";
 import type { ControlState } from "../state/control_state.ts";
 import { decideNumberedChange } from "../state/decide_numbered_change.ts";
@@ -9,7 +9,7 @@
   state: ControlState,
   command: CommandOf<"publish-weights">,
   index: number,
-): ChangeAnswer {
+): CommandResult {
   const current = state.weights.get(command.service);
   const decision = decideNumberedChange(
     current,
--- a/packages/core/src/rollout/is_nearly_held.ts
+++ b/packages/core/src/rollout/is_nearly_complete.ts
@@ -4,7 +4,7 @@
   /** Time since this host learned of the version. */
   elapsedMilliseconds: number;
   /** Time since the latest chunk arrived. */
-  quietMilliseconds: number;
+  millisecondsSinceLastChunk: number;
 };
 
 /**
@@ -30,11 +30,13 @@
  * at a fixed share would be idle for seconds where chunks arrive slowly, at the
  * time when the other engines can spare it least.
  */
-export function isNearlyHeld(progress: Progress): boolean {
+export function isNearlyComplete(progress: Progress): boolean {
   const { held, total, elapsedMilliseconds } = progress;
   if (held >= total) return true;
   if (held < total * MINIMUM_HELD_SHARE) return false;
-  if (progress.quietMilliseconds > STALL_TIMEOUT_MILLISECONDS) return false;
+  if (progress.millisecondsSinceLastChunk > STALL_TIMEOUT_MILLISECONDS) {
+    return false;
+  }
   const remainingMilliseconds = elapsedMilliseconds * (total - held) / held;
   return remainingMilliseconds <= ENGINE_DRAIN_MILLISECONDS;
 }
--- a/packages/core/src/rollout/is_nearly_held_test.ts
+++ b/packages/core/src/rollout/is_nearly_complete_test.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { isNearlyHeld } from "./is_nearly_held.ts";
+import { isNearlyComplete } from "./is_nearly_complete.ts";
 
 test("an engine drains while the last chunks arrive, not before", () => {
   // 48 chunks arrive in 3.6 s over an unshared link and in 9 s over a link that
   // other hosts share.
   const at = (held: number, elapsedMilliseconds: number) =>
-    isNearlyHeld({
+    isNearlyComplete({
       held,
       total: 48,
       elapsedMilliseconds,
-      quietMilliseconds: 70,
+      millisecondsSinceLastChunk: 70,
     });
   assert.equal(at(35, 2_625), false, "one second is left");
   assert.equal(at(37, 2_775), true);
@@ -25,12 +25,12 @@
 // that had stopped accepting requests for this version were idle for six
 // seconds.
 test("a version whose last chunks have stalled is not nearly held", () => {
-  const after = (quietMilliseconds: number) =>
-    isNearlyHeld({
+  const after = (millisecondsSinceLastChunk: number) =>
+    isNearlyComplete({
       held: 46,
       total: 48,
-      elapsedMilliseconds: 3_400 + quietMilliseconds,
-      quietMilliseconds,
+      elapsedMilliseconds: 3_400 + millisecondsSinceLastChunk,
+      millisecondsSinceLastChunk,
     });
   assert.equal(after(200), true);
   assert.equal(after(1_000), false);
--- a/packages/core/src/rollout/load_turns.ts
+++ b/packages/core/src/rollout/load_permits.ts
@@ -1,11 +1,11 @@
 type Options = {
   /** Share of the hosts that may stop serving to load at once, 0 to 1. */
-  outShare: number;
+  maxLoadingShare: number;
   /** Time after which a turn that was not ended expires. */
-  turnMilliseconds: number;
+  permitTimeoutMilliseconds: number;
 };
 
-type Turn = { since: number; countsAgainstLimit: boolean };
+type Permit = { since: number; countsAgainstLimit: boolean };
 
 /**
  * Decides which hosts of a data centre may stop serving to load a new version,
@@ -13,9 +13,9 @@
  * gets a turn at once. The turns are soft state: a control host that takes over
  * starts without them and at worst lets some more engines load at once.
  */
-export class LoadTurns {
+export class LoadPermits {
   #options: Options;
-  #turns = new Map<string, Turn>();
+  #permits = new Map<string, Permit>();
 
   constructor(options: Options) {
     this.#options = options;
@@ -25,30 +25,35 @@
    * Gives `host` a turn if the limit allows one, and returns whether it has
    * one now. `hosts` is the number of hosts in its data centre.
    */
-  take(
+  tryAcquire(
     host: string,
     view: { hosts: number; wasServing: boolean; now: number },
   ): boolean {
     const { hosts, wasServing, now } = view;
     this.#expire(now);
-    if (this.#turns.has(host)) return true;
+    if (this.#permits.has(host)) return true;
     const unavailable =
-      [...this.#turns.values()].filter(({ countsAgainstLimit }) =>
+      [...this.#permits.values()].filter(({ countsAgainstLimit }) =>
         countsAgainstLimit
       ).length;
-    const limit = Math.max(1, Math.floor(hosts * this.#options.outShare));
+    const limit = Math.max(
+      1,
+      Math.floor(hosts * this.#options.maxLoadingShare),
+    );
     if (wasServing && unavailable >= limit) return false;
-    this.#turns.set(host, { since: now, countsAgainstLimit: wasServing });
+    this.#permits.set(host, { since: now, countsAgainstLimit: wasServing });
     return true;
   }
 
-  end(host: string): void {
-    this.#turns.delete(host);
+  release(host: string): void {
+    this.#permits.delete(host);
   }
 
   #expire(now: number): void {
-    for (const [host, { since }] of [...this.#turns]) {
-      if (now - since > this.#options.turnMilliseconds) this.end(host);
+    for (const [host, { since }] of [...this.#permits]) {
+      if (now - since > this.#options.permitTimeoutMilliseconds) {
+        this.release(host);
+      }
     }
   }
 }
--- a/packages/core/src/rollout/named_versions.ts
+++ b/packages/core/src/rollout/named_versions.ts
@@ -28,7 +28,7 @@
     return this.#versionsByModel.get(model)?.at(-1)?.version;
   }
 
-  namedAt(model: string, version: number): number | undefined {
+  findNamedAt(model: string, version: number): number | undefined {
     return this.#versionsByModel.get(model)?.find((named) =>
       named.version === version
     )
@@ -39,7 +39,7 @@
    * Returns when the next later version was named, in milliseconds, or Infinity
    * if there is none.
    */
-  overtakenAt(model: string, version: number): number {
+  supersededAt(model: string, version: number): number {
     const named = this.#versionsByModel.get(model) ?? [];
     const next = named.find((later) => later.version > version);
     return next?.namedAt ?? Infinity;
--- a/packages/core/src/rollout/rollout_rules_test.ts
+++ b/packages/core/src/rollout/rollout_rules_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { LoadTurns } from "./load_turns.ts";
+import { LoadPermits } from "./load_permits.ts";
 import { NamedVersions } from "./named_versions.ts";
 import { weightsMargins } from "./weights_margins.ts";
 import { weightsUnusedAt } from "./weights_unused_at.ts";
@@ -13,29 +13,38 @@
   assert.equal(named.add("m", { version: 3, namedAt: 20_000 }), true);
   assert.equal(named.add("m", { version: 2, namedAt: 26_000 }), false);
   assert.equal(named.latest("m"), 3);
-  assert.equal(named.overtakenAt("m", 1), 18_000);
-  assert.equal(named.overtakenAt("m", 2), 20_000);
-  assert.equal(named.overtakenAt("m", 3), Infinity);
+  assert.equal(named.supersededAt("m", 1), 18_000);
+  assert.equal(named.supersededAt("m", 2), 20_000);
+  assert.equal(named.supersededAt("m", 3), Infinity);
 });
 
 test("most engines of a data centre serve while others load", () => {
-  const turns = new LoadTurns({ outShare: 0.4, turnMilliseconds: 8_000 });
+  const permits = new LoadPermits({
+    maxLoadingShare: 0.4,
+    permitTimeoutMilliseconds: 8_000,
+  });
   const view = { hosts: 5, wasServing: true, now: 0 };
-  assert.equal(turns.take("a", view), true);
-  assert.equal(turns.take("b", view), true);
-  assert.equal(turns.take("c", view), false);
-  assert.equal(turns.take("a", view), true);
-  assert.equal(turns.take("empty", { ...view, wasServing: false }), true);
-  turns.end("a");
-  assert.equal(turns.take("c", view), true);
+  assert.equal(permits.tryAcquire("a", view), true);
+  assert.equal(permits.tryAcquire("b", view), true);
+  assert.equal(permits.tryAcquire("c", view), false);
+  assert.equal(permits.tryAcquire("a", view), true);
+  assert.equal(
+    permits.tryAcquire("empty", { ...view, wasServing: false }),
+    true,
+  );
+  permits.release("a");
+  assert.equal(permits.tryAcquire("c", view), true);
 });
 
 test("a turn that is not ended expires", () => {
-  const turns = new LoadTurns({ outShare: 0.4, turnMilliseconds: 8_000 });
+  const permits = new LoadPermits({
+    maxLoadingShare: 0.4,
+    permitTimeoutMilliseconds: 8_000,
+  });
   const view = { hosts: 2, wasServing: true, now: 0 };
-  assert.equal(turns.take("a", view), true);
-  assert.equal(turns.take("b", { ...view, now: 7_000 }), false);
-  assert.equal(turns.take("b", { ...view, now: 8_001 }), true);
+  assert.equal(permits.tryAcquire("a", view), true);
+  assert.equal(permits.tryAcquire("b", { ...view, now: 7_000 }), false);
+  assert.equal(permits.tryAcquire("b", { ...view, now: 8_001 }), true);
 });
 
 // One of six control hosts is slow and learns of a version 0.7 s late. A
@@ -46,14 +55,14 @@
   const heardLateMilliseconds = 695;
   const named = new NamedVersions();
   named.add("m", { version: 2, namedAt: heardLateMilliseconds });
-  const givenUpAt = named.overtakenAt("m", 1) + boundMilliseconds -
-    weightsMargins.giveUpMilliseconds;
+  const givenUpAt = named.supersededAt("m", 1) + boundMilliseconds -
+    weightsMargins.namingDelayMilliseconds;
   assert.ok(givenUpAt <= boundMilliseconds, `${givenUpAt}`);
 });
 
 test("an engine needs no turn once gateways stop using its weights", () => {
   // Guards against idle engines, and against engines that stop too early.
-  const { giveUpMilliseconds, beginMilliseconds } = weightsMargins;
-  const lastSent = 8_000 - giveUpMilliseconds - beginMilliseconds;
+  const { namingDelayMilliseconds, requestStartMilliseconds } = weightsMargins;
+  const lastSent = 8_000 - namingDelayMilliseconds - requestStartMilliseconds;
   assert.equal(weightsUnusedAt(18_000, 8_000), 18_000 + lastSent);
 });
--- a/packages/core/src/rollout/weights_margins.ts
+++ b/packages/core/src/rollout/weights_margins.ts
@@ -9,7 +9,7 @@
    * late. With a smaller margin, requests begin on superseded weights after
    * they no longer may.
    */
-  giveUpMilliseconds: 900,
+  namingDelayMilliseconds: 900,
   /** Time that a request takes to begin with no other queued ahead of it. */
-  beginMilliseconds: 600,
+  requestStartMilliseconds: 600,
 } as const;
--- a/packages/core/src/rollout/weights_unused_at.ts
+++ b/packages/core/src/rollout/weights_unused_at.ts
@@ -15,7 +15,7 @@
   supersededAt: number,
   boundMilliseconds: number,
 ): number {
-  const { giveUpMilliseconds, beginMilliseconds } = weightsMargins;
-  return supersededAt + boundMilliseconds - giveUpMilliseconds -
-    beginMilliseconds;
+  const { namingDelayMilliseconds, requestStartMilliseconds } = weightsMargins;
+  return supersededAt + boundMilliseconds - namingDelayMilliseconds -
+    requestStartMilliseconds;
 }
--- a/packages/core/src/routing/predicted_wait_policy.ts
+++ b/packages/core/src/routing/predicted_wait_policy.ts
@@ -18,7 +18,7 @@
   /** This entry host's data centre. */
   dataCentre: string;
   /** Cost added to a call to another data centre. */
-  crossingMilliseconds: number;
+  crossDataCentreMilliseconds: number;
 };
 
 /**
@@ -81,7 +81,7 @@
     const { now, remembered, usual } = view;
     const crossing = row.dataCentre === this.#options.dataCentre
       ? 0
-      : this.#options.crossingMilliseconds;
+      : this.#options.crossDataCentreMilliseconds;
     const cached = row.backendServer === remembered
       ? CACHED_PREFIX_BONUS_MILLISECONDS
       : 0;
--- a/packages/core/src/routing/admit_to_queue.ts
+++ b/packages/core/src/routing/queue_retry_after_milliseconds.ts
@@ -16,7 +16,7 @@
  * call that would wait for too much of its deadline is refused at once: in the
  * queue it would take a slot from a call that can still finish in time.
  */
-export function admitToQueue(
+export function queueRetryAfterMilliseconds(
   queue: Queue,
   deadlineMilliseconds: number,
 ): number {
--- a/packages/core/src/spread/swap_policy.ts
+++ b/packages/core/src/spread/peer_exchange_policy.ts
@@ -5,12 +5,12 @@
 import type { SpreadHostRow } from "./spread_host_row.ts";
 import type { SpreadPolicy } from "./spread_policy.ts";
 import type { SpreadTable } from "./spread_table.ts";
-import type { SpreadWeighing } from "./spread_weighing.ts";
+import type { SpreadObjective } from "./spread_objective.ts";
 
 const ORIGIN = "";
 
 type Options = {
-  weighing: SpreadWeighing;
+  objective: SpreadObjective;
   random: () => number;
   ranking: ChunkRanking;
   /** Missing chunks that are compared to find the lowest rank. */
@@ -37,7 +37,7 @@
  * remote data centre. All other transfers are between local hosts, with a few
  * concurrent uploads per source.
  */
-export class SwapPolicy implements SpreadPolicy {
+export class PeerExchangePolicy implements SpreadPolicy {
   #options: Options;
 
   constructor(options: Options) {
@@ -116,13 +116,13 @@
     if (holders.count > 0) {
       const localHolder = this.#leastBusyHolder(table, holders, request);
       if (localHolder !== undefined) return localHolder;
-      if (this.#options.weighing === "haste" && table.isEveryChunkHeld) {
+      if (this.#options.objective === "haste" && table.isEveryChunkHeld) {
         return this.#originSource(table, request);
       }
       if (!this.#areAllAvoided(table, holders, request)) return undefined;
     }
     if (table.pendingFetchesOf(request.chunk) > 0) return undefined;
-    const prefersOrigin = this.#options.weighing === "time" &&
+    const prefersOrigin = this.#options.objective === "time" &&
       this.#assignedDataCentre(table, request.chunk) === table.dataCentre;
     return prefersOrigin
       ? this.#originSource(table, request) ?? this.#remoteSource(table, request)
@@ -231,7 +231,7 @@
    * all others. True until both mean transfer times are known.
    */
   #isRemoteInTime(table: SpreadTable): boolean {
-    if (this.#options.weighing !== "time") return true;
+    if (this.#options.objective !== "time") return true;
     const remoteMean = table.transferTimes.mean("remote");
     const originMean = table.transferTimes.mean("origin");
     if (remoteMean === undefined || originMean === undefined) return true;
@@ -257,9 +257,9 @@
    * chunks are reassigned.
    */
   #mayFetchFromOrigin(table: SpreadTable, chunk: number): boolean {
-    const { weighing } = this.#options;
-    if (weighing === "time") return true;
-    if (weighing === "haste" && table.isEveryChunkHeld) return true;
+    const { objective } = this.#options;
+    if (objective === "time") return true;
+    if (objective === "haste" && table.isEveryChunkHeld) return true;
     return this.#assignedDataCentre(table, chunk) === table.dataCentre;
   }
 
--- a/packages/core/src/spread/spread_weighing.ts
+++ b/packages/core/src/spread/spread_objective.ts
@@ -5,4 +5,4 @@
  * chunks whose holders can't send at the moment. The origin then sends one or
  * two more copies of the weights, and the spread takes a fifth less time.
  */
-export type SpreadWeighing = "time" | "origin-bytes" | "haste";
+export type SpreadObjective = "time" | "origin-bytes" | "haste";
--- a/packages/core/src/spread/spread_table.ts
+++ b/packages/core/src/spread/spread_table.ts
@@ -68,7 +68,7 @@
   }
 
   /** Whether a host that follows this table's plans is missing chunks. */
-  get hasWork(): boolean {
+  get hasMissingChunks(): boolean {
     return this.hosts.some((row) => row.followsPlans && !row.held.isComplete);
   }
 
@@ -169,7 +169,7 @@
    * host would wait for them. The host is marked as stalled and assigned
    * nothing more until it reports again.
    */
-  endOverdue(now: number): void {
+  expireTransfers(now: number): void {
     for (const { host, chunk, source, startedAt } of this.allTransfers()) {
       const timeout = source === ORIGIN
         ? ORIGIN_TIMEOUT_MILLISECONDS
@@ -181,7 +181,7 @@
   }
 
   /** Marks a host that sent a report as no longer stalled. */
-  noteHeard(host: string): void {
+  markResponsive(host: string): void {
     const row = this.#hosts.get(host);
     if (row !== undefined) row.isStalled = false;
   }
--- a/packages/core/src/spread/spread_table_test.ts
+++ b/packages/core/src/spread/spread_table_test.ts
@@ -5,8 +5,8 @@
 import { defaultSpreadOptions } from "./default_spread_options.ts";
 import { RarestRanking } from "./rarest_ranking.ts";
 import { SpreadTable } from "./spread_table.ts";
-import type { SpreadWeighing } from "./spread_weighing.ts";
-import { SwapPolicy } from "./swap_policy.ts";
+import type { SpreadObjective } from "./spread_objective.ts";
+import { PeerExchangePolicy } from "./peer_exchange_policy.ts";
 
 const CHUNKS = 8;
 const ORIGIN = "";
@@ -31,10 +31,12 @@
   return table;
 }
 
-function policy(weighing: SpreadWeighing = "origin-bytes"): SwapPolicy {
-  return new SwapPolicy({
+function policy(
+  objective: SpreadObjective = "origin-bytes",
+): PeerExchangePolicy {
+  return new PeerExchangePolicy({
     ...defaultSpreadOptions,
-    weighing,
+    objective,
     random: seededRandom(4),
     ranking: new RarestRanking(),
   });
@@ -50,7 +52,7 @@
   const held = first.filter(({ host }) => host === "frozen");
   assert.ok(held.length > 0 && held.every(({ source }) => source === ORIGIN));
   for (let now = 100; now <= 3_000; now += 100) {
-    table.endOverdue(now);
+    table.expireTransfers(now);
     for (const { host, chunk } of plan.plan(table, now)) {
       if (host === "awake") table.addChunk(host, chunk, now);
     }
@@ -64,7 +66,7 @@
     plan.plan(table, 3_100).filter(({ host }) => host === "frozen"),
     [],
   );
-  table.noteHeard("frozen");
+  table.markResponsive("frozen");
   assert.ok(plan.plan(table, 3_200).some(({ host }) => host === "frozen"));
 });
 
@@ -87,7 +89,7 @@
 // less wherever two hosts want the same. The origin's link, which is idle once
 // every chunk has left the origin, makes up for the difference.
 test("in haste the origin helps only once hosts hold all chunks", () => {
-  const fromOrigin = (weighing: SpreadWeighing, heldChunks: number) => {
+  const fromOrigin = (objective: SpreadObjective, heldChunks: number) => {
     const table = tableWith(["full", "a", "b", "c"]);
     for (let chunk = 0; chunk < heldChunks; chunk += 1) {
       table.addChunk("full", chunk, 0);
@@ -101,7 +103,7 @@
         startedAt: 0,
       });
     }
-    return policy(weighing).plan(table, 0)
+    return policy(objective).plan(table, 0)
       .filter(({ source }) => source === ORIGIN).length;
   };
   const total = tableWith([]).totalChunks;
@@ -115,10 +117,14 @@
 // chunks, and against leaving out a host that has just lost its chunks.
 test("a table has work only while a follower is missing chunks", () => {
   const table = tableWith(["a", "b"]);
-  assert.equal(table.hasWork, true);
+  assert.equal(table.hasMissingChunks, true);
   table.host("a")!.followsPlans = false;
   for (let chunk = 0; chunk < CHUNKS; chunk += 1) table.addChunk("b", chunk, 0);
-  assert.equal(table.hasWork, false, "one holds all, the other follows none");
+  assert.equal(
+    table.hasMissingChunks,
+    false,
+    "one holds all, the other follows none",
+  );
   table.setHost({ ...table.host("b")!, held: new ChunkSet(CHUNKS) });
-  assert.equal(table.hasWork, true);
+  assert.equal(table.hasMissingChunks, true);
 });
--- a/packages/core/src/spread/weight_blocks.ts
+++ b/packages/core/src/spread/weight_blocks.ts
@@ -12,18 +12,18 @@
  * separately on every host.
  */
 export class WeightBlocks {
-  #chunkCount: number;
+  #totalChunks: number;
   #chunksPerBlock: number;
 
   constructor(
     { chunks, chunk_bytes }: Pick<WeightsManifest, "chunks" | "chunk_bytes">,
   ) {
-    this.#chunkCount = chunks.length;
+    this.#totalChunks = chunks.length;
     this.#chunksPerBlock = Math.max(1, Math.floor(BLOCK_BYTES / chunk_bytes));
   }
 
   get count(): number {
-    return Math.ceil(this.#chunkCount / this.#chunksPerBlock);
+    return Math.ceil(this.#totalChunks / this.#chunksPerBlock);
   }
 
   get chunksPerBlock(): number {
@@ -33,21 +33,21 @@
   /** Returns a block's chunks in order; empty if the block does not exist. */
   chunksOf(block: number): number[] {
     const first = block * this.#chunksPerBlock;
-    const end = Math.min(first + this.#chunksPerBlock, this.#chunkCount);
+    const end = Math.min(first + this.#chunksPerBlock, this.#totalChunks);
     const chunks: number[] = [];
     for (let chunk = first; chunk < end; chunk += 1) chunks.push(chunk);
     return chunks;
   }
 
   /** Returns the blocks of which every chunk is held. */
-  wholeIn(held: ChunkSet): number[] {
+  completeBlocks(held: ChunkSet): number[] {
     return this.#allBlocks().filter((block) =>
       this.chunksOf(block).every((chunk) => held.has(chunk))
     );
   }
 
-  missingIn(held: ChunkSet): number[] {
-    const whole = new Set(this.wholeIn(held));
+  incompleteBlocks(held: ChunkSet): number[] {
+    const whole = new Set(this.completeBlocks(held));
     return this.#allBlocks().filter((block) => !whole.has(block));
   }
 
--- a/packages/core/src/spread/weight_blocks_test.ts
+++ b/packages/core/src/spread/weight_blocks_test.ts
@@ -24,6 +24,6 @@
   const blocks = blocksOf(5, 24_576);
   const held = new ChunkSet(5);
   for (const chunk of [0, 2, 3, 4]) held.add(chunk);
-  assert.deepEqual(blocks.wholeIn(held), [1, 2]);
-  assert.deepEqual(blocks.missingIn(held), [0]);
+  assert.deepEqual(blocks.completeBlocks(held), [1, 2]);
+  assert.deepEqual(blocks.incompleteBlocks(held), [0]);
 });
--- a/packages/core/src/state/apply_command.ts
+++ b/packages/core/src/state/apply_command.ts
@@ -8,11 +8,11 @@
 import { applyRoutingReplacement } from "../gateway/apply_routing_replacement.ts";
 import { applyNamedWeights } from "../rollout/apply_named_weights.ts";
 import { applyPublication } from "../rollout/apply_publication.ts";
-import type { ChangeAnswer } from "./change_answer.ts";
+import type { CommandResult } from "./command_result.ts";
 import type { Command } from "./command.ts";
 import type { ControlState } from "./control_state.ts";
 
-const ACCEPTED: ChangeAnswer = { accepted: true };
+const ACCEPTED: CommandResult = { accepted: true };
 
 /**
  * Applies one committed command at log index `index` to the tables, and returns
@@ -23,7 +23,7 @@
   state: ControlState,
   command: Command,
   index: number,
-): ChangeAnswer {
+): CommandResult {
   state.appliedIndex = index;
   switch (command.kind) {
     case "change-contract":
--- a/packages/core/src/state/change_answer.ts
+++ b/packages/core/src/state/command_result.ts
@@ -3,7 +3,7 @@
  * refused. `value`, if present, describes what is in effect, whether or not
  * the command was accepted.
  */
-export type ChangeAnswer = {
+export type CommandResult = {
   accepted: boolean;
   reason?: string;
   value?: unknown;
--- a/packages/core/src/state/empty_control_state.ts
+++ b/packages/core/src/state/create_empty_control_state.ts
@@ -1,7 +1,7 @@
 import type { ControlState } from "./control_state.ts";
 
 /** Returns the state before the first command. */
-export function emptyControlState(): ControlState {
+export function createEmptyControlState(): ControlState {
   return {
     appliedIndex: 0,
     limitsChangedAt: 0,
--- a/packages/core/src/state/decode_control_state.ts
+++ b/packages/core/src/state/decode_control_state.ts
@@ -9,7 +9,7 @@
 import type { PermitRow } from "../rollout/permit_row.ts";
 import type { WeightsRow } from "../rollout/weights_row.ts";
 import type { ControlState } from "./control_state.ts";
-import { emptyControlState } from "./empty_control_state.ts";
+import { createEmptyControlState } from "./create_empty_control_state.ts";
 
 type EncodedControlState = {
   appliedIndex: number;
@@ -40,7 +40,7 @@
  * `bytes`.
  */
 export function decodeControlState(bytes: Uint8Array): ControlState {
-  if (bytes.length === 0) return emptyControlState();
+  if (bytes.length === 0) return createEmptyControlState();
   const encoded = JSON.parse(
     new TextDecoder().decode(bytes),
   ) as EncodedControlState;
--- a/packages/core/src/state/is_followed_command.ts
+++ b/packages/core/src/state/is_sent_to_entry_hosts.ts
@@ -11,6 +11,6 @@
 ]);
 
 /** Whether this command is sent to entry hosts. */
-export function isFollowedCommand(command: Command): boolean {
+export function isSentToEntryHosts(command: Command): boolean {
   return !NOT_FOLLOWED_KINDS.has(command.kind);
 }
--- a/packages/core/src/timeline/timeline_ring.ts
+++ b/packages/core/src/timeline/timeline_ring.ts
@@ -39,12 +39,12 @@
   }
 
   /** Advances the clock and returns a stamp to send with a message. */
-  now(wallTime: number): HybridTime {
+  stampMessage(wallTime: number): HybridTime {
     return this.#clock.stamp(wallTime);
   }
 
   /** Events at or after `time`, oldest first, at most `capacity`. */
-  since(time: number): RingEvent[] {
+  eventsSince(time: number): RingEvent[] {
     return this.#events
       .filter((event) => event.time >= time)
       .slice(-this.#capacity);
--- a/packages/core/src/timeline/timeline_test.ts
+++ b/packages/core/src/timeline/timeline_test.ts
@@ -8,13 +8,14 @@
   const ahead = new TimelineRing("ahead", 10);
   const behind = new TimelineRing("behind", 10);
   ahead.record(60_000, "cause", "");
-  behind.observe(1_000, ahead.now(60_000));
+  behind.observe(1_000, ahead.stampMessage(60_000));
   behind.record(1_001, "effect", "");
-  ahead.observe(60_001, behind.now(1_002));
+  ahead.observe(60_001, behind.stampMessage(1_002));
   ahead.record(60_001, "end", "");
-  const merged = [...ahead.since(0), ...behind.since(0)].sort((one, other) =>
-    one.time - other.time || one.counter - other.counter
-  );
+  const merged = [...ahead.eventsSince(0), ...behind.eventsSince(0)].sort((
+    one,
+    other,
+  ) => one.time - other.time || one.counter - other.counter);
   assert.deepEqual(merged.map(({ kind }) => kind), ["cause", "effect", "end"]);
 });
 
@@ -24,7 +25,7 @@
     ring.record(count, "event", String(count));
   }
   assert.deepEqual(
-    ring.since(0).map(({ detail }) => detail),
+    ring.eventsSince(0).map(({ detail }) => detail),
     ["36", "37", "38", "39", "40"],
   );
 });
--- a/packages/daemon/src/agent/agent_app.ts
+++ b/packages/daemon/src/agent/agent_app.ts
@@ -15,7 +15,7 @@
 import { AgentServer } from "./agent_server.ts";
 import { AgentState } from "./agent_state.ts";
 import { CallRunner } from "./call_runner.ts";
-import { callRoutes } from "./call_routes.ts";
+import { createCallRoutes } from "./create_call_routes.ts";
 import { ChunkFetcher } from "../spread/chunk_fetcher.ts";
 import { EngineClient } from "./engine_client.ts";
 import { EngineLoader } from "./engine_loader.ts";
@@ -78,7 +78,7 @@
       dataCentre: settings.data_centre,
       state: this.#state,
       cache: this.#cache,
-      link: new LinkPacer(agent.link_bytes_per_second),
+      linkPacer: new LinkPacer(agent.link_bytes_per_second),
       regionBytesPerSecond: agent.region_bytes_per_second,
     });
     this.#spread = new SpreadClient({
@@ -86,7 +86,7 @@
       fetcher: new ChunkFetcher({
         dataCentre: settings.data_centre,
         pacer: new LinkPacer(agent.link_bytes_per_second),
-        storeFormat: rangeStoreFormat,
+        weightStoreFormat: rangeStoreFormat,
       }),
       log,
       metrics: options.metrics,
@@ -105,16 +105,16 @@
       addresses: agent.entry_hosts,
       dataCentre: settings.data_centre,
       clients,
-      ring: log.ring,
-      greet: (address) => this.#initialMessages(address),
-      quietBeats: BEATS_PER_HEARTBEAT,
-      beat: () => this.#loadReportIfChanged(),
+      timeline: log.timeline,
+      createInitialMessages: (address) => this.#initialMessages(address),
+      beatsPerHeartbeat: BEATS_PER_HEARTBEAT,
+      createBeatMessage: () => this.#loadReportIfChanged(),
     });
     this.#subscribeParts();
   }
 
   routes(router: ConnectRouter): void {
-    callRoutes(this.#runner, this.#incarnation)(router);
+    createCallRoutes(this.#runner, this.#incarnation)(router);
   }
 
   async start(): Promise<Result<void, string>> {
@@ -156,7 +156,7 @@
       );
     });
     this.#loader.permitWanted$.subscribe((request) => {
-      const address = this.#links.anyConnected;
+      const address = this.#links.anyConnectedAddress;
       if (address === undefined) return;
       this.#links.send(address, { case: "permitRequest", value: request });
     });
@@ -165,11 +165,13 @@
         this.#metrics.increment("weights.live");
         this.#metrics.timing(
           "weights.live_milliseconds",
-          Date.now() - this.#spread.targetSince,
+          Date.now() - this.#spread.targetReceivedAt,
+        );
+        this.#cache.keepOnly(
+          new Set([settled.version, this.#spread.targetVersion]),
         );
-        this.#cache.keep(new Set([settled.version, this.#spread.version]));
       }
-      const address = this.#links.anyConnected;
+      const address = this.#links.anyConnectedAddress;
       if (address === undefined) return;
       this.#links.send(address, { case: "loadSettled", value: settled });
     });
@@ -181,9 +183,9 @@
       case "target":
         return this.#handleTarget(body.value);
       case "plan":
-        return this.#spread.takePlan(body.value);
+        return this.#spread.applyPlan(body.value);
       case "permit":
-        return this.#loader.takePermit(
+        return this.#loader.receivePermit(
           body.value.version,
           body.value.fencingToken,
         );
@@ -231,20 +233,20 @@
   #initialMessages(address: string) {
     if (this.#state.backend === undefined) return [];
     const announcement = this.#createAnnouncementMessage();
-    return this.#spread.version === ""
+    return this.#spread.targetVersion === ""
       ? [announcement]
       : [announcement, this.#createFullChunkReport(address)];
   }
 
   #reportAllChunks(): void {
-    if (this.#spread.version === "") return;
+    if (this.#spread.targetVersion === "") return;
     this.#links.broadcast((address) => this.#createFullChunkReport(address));
   }
 
   #createFullChunkReport(address: string) {
-    const { version } = this.#spread;
-    const added = this.#cache.wholeBlocks(version);
-    const change = { version, added, failed: [], whole: true };
+    const { targetVersion } = this.#spread;
+    const added = this.#cache.listCompleteBlocks(targetVersion);
+    const change = { version: targetVersion, added, failed: [], whole: true };
     return this.#createChunkReport(address, change);
   }
 
--- a/packages/daemon/src/agent/agent_server.ts
+++ b/packages/daemon/src/agent/agent_server.ts
@@ -25,7 +25,7 @@
   state: AgentState;
   cache: WeightsCache;
   /** Rate limiter of this host's network link. */
-  link: LinkPacer;
+  linkPacer: LinkPacer;
   /** Limit of what is sent to each other data centre; 0 for no limit. */
   regionBytesPerSecond: number;
 };
@@ -98,7 +98,7 @@
         outcome: "not-run",
       });
     }
-    this.#options.state.announce(parsed.data, Date.now());
+    this.#options.state.recordAnnouncement(parsed.data, Date.now());
     response.writeHead(204).end();
   }
 
--- a/packages/daemon/src/agent/agent_state.ts
+++ b/packages/daemon/src/agent/agent_state.ts
@@ -17,7 +17,7 @@
   #stopping = false;
   #announcedAt = 0;
 
-  announce(backend: BackendServer, now: number): void {
+  recordAnnouncement(backend: BackendServer, now: number): void {
     const before = JSON.stringify(this.backend);
     const wasSilent = this.isSilent(now);
     this.backend = backend;
@@ -59,7 +59,7 @@
   }
 
   /** Why calls are refused now; undefined while they are accepted. */
-  refusal(now: number): string | undefined {
+  refusalReason(now: number): string | undefined {
     if (this.#stopping) return "stopping";
     if (this.backend === undefined || this.isSilent(now)) {
       return "backend-server-silent";
--- a/packages/daemon/src/agent/backend_incarnations.ts
+++ b/packages/daemon/src/agent/backend_incarnations.ts
@@ -1,4 +1,4 @@
-import { askWhetherEnded } from "../transport/ask_whether_ended.ts";
+import { probeProcessEnd } from "../transport/probe_process_end.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
 /** Numbers the incarnations of the backend server on an agent's host. */
@@ -22,7 +22,7 @@
    */
   async findEndedIncarnation(address: string, sentAt: number): Promise<string> {
     const failedAt = monotonicMilliseconds();
-    if (await askWhetherEnded(address) !== "ended") return "";
+    if (await probeProcessEnd(address) !== "ended") return "";
     if (sentAt > this.#endedAt) {
       this.#endCount += 1;
       this.#endedAt = failedAt;
--- a/packages/daemon/src/agent/backend_rate_limiter.ts
+++ b/packages/daemon/src/agent/backend_rate_limiter.ts
@@ -1,4 +1,4 @@
-import { LimitPart } from "@teaselrouter/core/named_limits/limit_part.ts";
+import { LimitPartBucket } from "@teaselrouter/core/named_limits/limit_part_bucket.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
 /**
@@ -9,13 +9,13 @@
 
 /** Enforces the requests per second that a backend server says it accepts. */
 export class BackendRateLimiter {
-  #part: LimitPart | undefined;
+  #part: LimitPartBucket | undefined;
 
   /** To be called with each answer; undefined if the answer names no limit. */
   setLimit(perSecond: number | undefined): void {
     if (perSecond === undefined) this.#part = undefined;
     else if (this.#part !== undefined) this.#part.perSecond = perSecond;
-    else {this.#part = new LimitPart(
+    else {this.#part = new LimitPartBucket(
         perSecond,
         monotonicMilliseconds(),
         Math.random,
@@ -32,9 +32,11 @@
     const now = monotonicMilliseconds();
     const part = this.#part;
     if (part === undefined) return 0;
-    part.tell(WHOLE_LIMIT, now);
-    part.want(now);
-    if (!part.admits(now)) return Math.max(1, part.untilRoom(now));
+    part.assignPart(WHOLE_LIMIT, now);
+    part.recordDemand(now);
+    if (!part.admit(now)) {
+      return Math.max(1, part.millisecondsUntilCapacity(now));
+    }
     part.take(now);
     return 0;
   }
--- a/packages/daemon/src/agent/call_runner.ts
+++ b/packages/daemon/src/agent/call_runner.ts
@@ -1,5 +1,5 @@
 import { AgentClaims } from "@teaselrouter/core/claims/agent_claims.ts";
-import { admitToQueue } from "@teaselrouter/core/routing/admit_to_queue.ts";
+import { queueRetryAfterMilliseconds } from "@teaselrouter/core/routing/queue_retry_after_milliseconds.ts";
 import type { RunRequest } from "@teaselrouter/messages/agent.ts";
 import { CallOutcome } from "@teaselrouter/messages/agent.ts";
 import { BackendRateLimiter } from "./backend_rate_limiter.ts";
@@ -135,7 +135,7 @@
   }
 
   #admit(request: RunRequest, exchange: Exchange): void {
-    const refusal = this.#state.refusal(Date.now());
+    const refusal = this.#state.refusalReason(Date.now());
     if (refusal !== undefined) {
       return this.#refuseNotRun(request, exchange, {
         reason: refusal,
@@ -143,7 +143,7 @@
       });
     }
     const { slots } = this.#state.backend!;
-    const retryAfterMilliseconds = admitToQueue(
+    const retryAfterMilliseconds = queueRetryAfterMilliseconds(
       { ...this.load, slots },
       request.deadlineMilliseconds,
     );
--- a/packages/daemon/src/agent/create_announcement.ts
+++ b/packages/daemon/src/agent/create_announcement.ts
@@ -23,7 +23,7 @@
     repeatable: backend.repeatable,
     slots: backend.slots,
     servingVersion: state.servingVersion,
-    accepting: state.refusal(Date.now()) === undefined,
+    accepting: state.refusalReason(Date.now()) === undefined,
     usesWeights: backend.uses_weights,
     linkBytesPerSecond: agent.link_bytes_per_second,
   };
--- a/packages/daemon/src/agent/call_routes.ts
+++ b/packages/daemon/src/agent/create_call_routes.ts
@@ -15,7 +15,7 @@
 const CLAIM_ARRIVAL_GRACE_MILLISECONDS = 300;
 
 /** The Connect RPC service through which entry hosts make calls. */
-export function callRoutes(runner: CallRunner, incarnation: string) {
+export function createCallRoutes(runner: CallRunner, incarnation: string) {
   return (router: ConnectRouter): void => {
     router.service(CallService, {
       async *run(request) {
@@ -38,7 +38,7 @@
         if (!runner.claims.has(request.claimKey, request.claimIndex)) {
           await pause(CLAIM_ARRIVAL_GRACE_MILLISECONDS);
         }
-        const requestId = runner.claims.settle(
+        const requestId = runner.claims.withdrawUnlessKnown(
           request.claimKey,
           request.claimIndex,
           Date.now(),
--- a/packages/daemon/src/agent/engine_loader.ts
+++ b/packages/daemon/src/agent/engine_loader.ts
@@ -72,7 +72,7 @@
     this.#target = version;
   }
 
-  takePermit(version: string, fencingToken: number): void {
+  receivePermit(version: string, fencingToken: number): void {
     const isOld = fencingToken <= (this.#permit?.fencingToken ?? 0);
     if (!isOld) this.#permit = { version, fencingToken, at: Date.now() };
   }
--- a/packages/daemon/src/cli/run_daemon.ts
+++ b/packages/daemon/src/cli/run_daemon.ts
@@ -1,6 +1,6 @@
 import process from "node:process";
 import sade from "sade";
-import type { PlatformEdge } from "../platform/platform_edge.ts";
+import type { PlatformAdapter } from "../platform/platform_adapter.ts";
 import { loadSettings } from "../settings/load_settings.ts";
 import { SettingsWatch } from "../settings/settings_watch.ts";
 import type { Daemon } from "../wiring/daemon.ts";
@@ -15,7 +15,7 @@
  * Runs the daemon's command line. `platform` is the adapter for the platform
  * that the daemon runs on, if on one.
  */
-export function runDaemon(platform?: PlatformEdge): void {
+export function runDaemon(platform?: PlatformAdapter): void {
   sade("teaselrouterd", true)
     .version("0.1.0")
     .describe("One process of teaselrouter, in the roles of its settings")
@@ -31,7 +31,10 @@
     });
 }
 
-async function run(cliOptions: CliOptions, platform: PlatformEdge | undefined) {
+async function run(
+  cliOptions: CliOptions,
+  platform: PlatformAdapter | undefined,
+) {
   if (cliOptions.settings === undefined) {
     process.stderr.write("--settings FILE is needed\n");
     process.exit(EXIT_INVALID_SETTINGS);
--- a/packages/daemon/src/control/control_app.ts
+++ b/packages/daemon/src/control/control_app.ts
@@ -3,7 +3,7 @@
 import { RaftNode } from "@teaselrouter/core/consensus/raft_node.ts";
 import { StartGate } from "@teaselrouter/core/membership/start_gate.ts";
 import { decodeControlState } from "@teaselrouter/core/state/decode_control_state.ts";
-import { emptyControlState } from "@teaselrouter/core/state/empty_control_state.ts";
+import { createEmptyControlState } from "@teaselrouter/core/state/create_empty_control_state.ts";
 import { encodeControlState } from "@teaselrouter/core/state/encode_control_state.ts";
 import {
   type Member,
@@ -15,7 +15,7 @@
 import { Subject } from "rxjs";
 import { Result } from "true-myth";
 import type { EventLog } from "../log/event_log.ts";
-import type { PlatformEdge } from "../platform/platform_edge.ts";
+import type { PlatformAdapter } from "../platform/platform_adapter.ts";
 import type { Settings } from "../settings/settings.ts";
 import type { ClientPool } from "../transport/client_pool.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
@@ -41,7 +41,7 @@
   log: EventLog;
   stopProcess: (reason: string) => void;
   /** Set in a platform's build, where operators and backend servers call. */
-  platform: PlatformEdge | undefined;
+  platform: PlatformAdapter | undefined;
 };
 
 /** Runs a control host: one Raft member and the services built on it. */
@@ -82,7 +82,7 @@
       address: settings.internal.listen,
       dataCentre: settings.data_centre,
     });
-    const { membership } = folder.restored.snapshot;
+    const { membership } = folder.restoredLog.snapshot;
     if ((membership?.members.length ?? 0) > 0) this.#membership = membership;
     if (options.platform !== undefined) {
       this.#platformServices = this.#createPlatformServices(options.platform);
@@ -104,7 +104,7 @@
   routes(router: ConnectRouter): void {
     controlRoutes({
       self: this.#self,
-      ring: this.#options.log.ring,
+      timeline: this.#options.log.timeline,
       membership: () => this.#control?.node.membership ?? this.#membership,
       control: () => this.#control,
       driver: () => this.#driver,
@@ -168,10 +168,10 @@
 
   async #startMember(): Promise<void> {
     const { settings } = this.#options;
-    const { restored } = this.#folder;
+    const { restoredLog } = this.#folder;
     if (
       this.#membership === undefined &&
-      canBootstrapCluster(settings, this.#self.address, restored)
+      canBootstrapCluster(settings, this.#self.address, restoredLog)
     ) await this.#bootstrap();
     if (this.#isStopped) return;
     this.#openMember();
@@ -179,7 +179,7 @@
     if (tolerated_losses === undefined) return;
     this.#membershipManager = new MembershipManager({
       control: this.#control!,
-      wantedVoters: 2 * tolerated_losses + 1,
+      targetVoters: 2 * tolerated_losses + 1,
       log: this.#options.log,
     });
     await this.#requestMembership();
@@ -187,16 +187,16 @@
 
   #openMember(): void {
     const { log, settings, stopProcess } = this.#options;
-    const { restored } = this.#folder;
-    const state = decodeControlState(restored.snapshot.state);
-    state.appliedIndex = restored.snapshot.lastIndex;
+    const { restoredLog } = this.#folder;
+    const state = decodeControlState(restoredLog.snapshot.state);
+    state.appliedIndex = restoredLog.snapshot.lastIndex;
     const node = new RaftNode({
       id: this.#self.id,
-      electionMilliseconds: settings.control!.election_milliseconds,
-      heartbeatMilliseconds: settings.control!.heartbeat_milliseconds,
+      electionTimeoutMilliseconds: settings.control!.election_milliseconds,
+      heartbeatIntervalMilliseconds: settings.control!.heartbeat_milliseconds,
       random: Math.random,
       now: monotonicMilliseconds(),
-      ...restored,
+      ...restoredLog,
     });
     const driver = new RaftDriver({
       node,
@@ -248,13 +248,13 @@
     return [...new Set([...addresses, ...this.#seeds])];
   }
 
-  #createPlatformServices(platform: PlatformEdge): PlatformServices {
+  #createPlatformServices(platform: PlatformAdapter): PlatformServices {
     return new PlatformServices({
       ...this.#options,
       platform,
       started$: this.#memberStarted$,
       control: () => this.#control,
-      replicatedState: () => this.#control?.state ?? emptyControlState(),
+      replicatedState: () => this.#control?.state ?? createEmptyControlState(),
       controlAddresses: () => this.#controlAddresses(),
     });
   }
@@ -272,13 +272,13 @@
     });
     if (membership === undefined || membership.members.length === 0) return;
     const snapshot = create(SnapshotDataSchema, { membership });
-    const { hardState } = this.#folder.restored;
+    const { hardState } = this.#folder.restoredLog;
     const saved = await this.#folder.saveSnapshot(snapshot, {
       hardState,
       entries: [],
     });
     if (saved.isErr) return this.#options.stopProcess(saved.error.detail);
-    this.#folder.restored.snapshot = snapshot;
+    this.#folder.restoredLog.snapshot = snapshot;
     this.#membership = membership;
   }
 
--- a/packages/daemon/src/control/control_host.ts
+++ b/packages/daemon/src/control/control_host.ts
@@ -5,7 +5,7 @@
 import type { ControlState } from "@teaselrouter/core/state/control_state.ts";
 import { decodeControlState } from "@teaselrouter/core/state/decode_control_state.ts";
 import { encodeControlState } from "@teaselrouter/core/state/encode_control_state.ts";
-import { isFollowedCommand } from "@teaselrouter/core/state/is_followed_command.ts";
+import { isSentToEntryHosts } from "@teaselrouter/core/state/is_sent_to_entry_hosts.ts";
 import {
   EntryKind,
   type LogEntry,
@@ -246,7 +246,7 @@
     if (command.kind === "replace-routing" || command.kind === "name-weights") {
       this.configurationChanged$.next();
     }
-    if (isFollowedCommand(command)) {
+    if (isSentToEntryHosts(command)) {
       this.#publishCommand({ index: entry.index, bytes: entry.data });
     }
     // An entry of another term was committed at this index, so the proposal
--- a/packages/daemon/src/control/control_operations.ts
+++ b/packages/daemon/src/control/control_operations.ts
@@ -1,4 +1,4 @@
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 
 type RoutingAnswer =
   | { kind: "accepted" }
@@ -21,8 +21,8 @@
   nameWeights(
     named: { model: string; version: number },
   ): Promise<"accepted" | "unavailable">;
-  hearStanding(standing: BackendStanding): void;
-  hearLeaving(instance: string): void;
+  recordAnnouncement(standing: BackendAnnouncement): void;
+  recordLeaving(instance: string): void;
   /** Logs input that could not be decoded, as from a newer or broken sender. */
-  noteUnreadable(what: string, detail: string): void;
+  logUnreadable(what: string, detail: string): void;
 }
--- a/packages/daemon/src/control/control_operations_handler.ts
+++ b/packages/daemon/src/control/control_operations_handler.ts
@@ -1,8 +1,8 @@
 import { create } from "@bufbuild/protobuf";
 import type { BlamedRequestRow } from "@teaselrouter/core/crashes/blamed_request_row.ts";
 import type { SuspectedRequestRow } from "@teaselrouter/core/crashes/suspected_request_row.ts";
-import { findConfigurationFault } from "@teaselrouter/core/gateway/find_configuration_fault.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import { findConfigurationError } from "@teaselrouter/core/gateway/find_configuration_error.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import type { Command } from "@teaselrouter/core/state/command.ts";
 import {
   FollowService,
@@ -57,7 +57,7 @@
     const decoded = decodeRouting(document);
     if (decoded.isErr) return this.#rejectRouting(decoded.error);
     const { version } = decoded.value;
-    const fault = findConfigurationFault(decoded.value);
+    const fault = findConfigurationError(decoded.value);
     if (fault !== undefined) {
       return this.#rejectRouting(`${fault.field}: ${fault.detail}`);
     }
@@ -118,15 +118,15 @@
     return await this.#execute(command) !== undefined;
   }
 
-  hearStanding(standing: BackendStanding): void {
+  recordAnnouncement(standing: BackendAnnouncement): void {
     this.#options.view.addLocalStanding(standing);
   }
 
-  hearLeaving(instance: string): void {
+  recordLeaving(instance: string): void {
     this.#options.view.removeLocalBackend(instance);
   }
 
-  noteUnreadable(what: string, detail: string): void {
+  logUnreadable(what: string, detail: string): void {
     this.#options.log.warn("unreadable", { what, detail });
   }
 
@@ -241,7 +241,7 @@
         },
       };
     } catch (error) {
-      clients.renew(leader);
+      clients.dropConnection(leader);
       log.warn("forward-failed", { leader, reason: String(error) });
       return undefined;
     }
--- a/packages/daemon/src/control/control_routes.ts
+++ b/packages/daemon/src/control/control_routes.ts
@@ -14,7 +14,7 @@
 
 type Options = {
   self: Member;
-  ring: TimelineRing;
+  timeline: TimelineRing;
   /** Undefined until the initial members are known. */
   membership: () => Membership | undefined;
   control: () => ControlHost | undefined;
@@ -55,7 +55,7 @@
         if (control === undefined) return;
         const session = new EntrySession({
           control,
-          ring: options.ring,
+          timeline: options.timeline,
           leaderAddress: () => control.leaderAddress,
         });
         const reading = (async () => {
--- a/packages/daemon/src/control/crash_attributor.ts
+++ b/packages/daemon/src/control/crash_attributor.ts
@@ -2,13 +2,13 @@
 import type { Blame } from "@teaselrouter/core/crashes/blame.ts";
 import { CrashLedger } from "@teaselrouter/core/crashes/crash_ledger.ts";
 import type { CrashReport } from "@teaselrouter/core/crashes/crash_report.ts";
-import { NewsBudget } from "@teaselrouter/core/news/news_budget.ts";
+import { NewsRateLimiter } from "@teaselrouter/core/news/news_rate_limiter.ts";
 import {
   type CrashNews,
   CrashNewsSchema,
 } from "@teaselrouter/messages/follow.ts";
 import { Subject } from "rxjs";
-import { blameFields } from "../log/blame_fields.ts";
+import { toBlameFields } from "../log/to_blame_fields.ts";
 import type { EventLog } from "../log/event_log.ts";
 import { decodeBlame } from "../transport/decode_blame.ts";
 import { decodeCrashReport } from "../transport/decode_crash_report.ts";
@@ -56,9 +56,9 @@
   #ledger = new CrashLedger({ settleMilliseconds: SETTLE_MILLISECONDS });
   /** Fingerprints emitted as suspicions or restored; oldest first. */
   #persisted = new Set<string>();
-  #suspicionBudget = new NewsBudget(MAX_SUSPICIONS_PER_SECOND);
+  #suspicionBudget = new NewsRateLimiter(MAX_SUSPICIONS_PER_SECOND);
   #queuedReports: CrashReport[] = [];
-  #reportBudget = new NewsBudget(MAX_REPORTS_PER_SECOND);
+  #reportBudget = new NewsRateLimiter(MAX_REPORTS_PER_SECOND);
   #reportTimer: NodeJS.Timeout | undefined;
   #decideTimer: NodeJS.Timeout | undefined;
   #expireTimer: NodeJS.Timeout;
@@ -87,7 +87,7 @@
 
   /** Adds the blames in the replicated state when this host starts. */
   restoreBlames(blames: Blame[]): void {
-    const newBlames = blames.filter((blame) => this.#ledger.learn(blame));
+    const newBlames = blames.filter((blame) => this.#ledger.mergeBlame(blame));
     if (newBlames.length > 0) this.#publishBlames(newBlames, "kept");
   }
 
@@ -99,7 +99,7 @@
 
   /** The current blames, for a new follower; undefined if there are none. */
   currentBlames(): CrashNews | undefined {
-    const blames = this.#ledger.blames().slice(-MAX_INITIAL_BLAMES);
+    const blames = this.#ledger.listBlames().slice(-MAX_INITIAL_BLAMES);
     return blames.length === 0 ? undefined : this.#encodeBlames(blames);
   }
 
@@ -110,14 +110,14 @@
       this.#persisted.add(fingerprint);
       for (const incarnation of incarnations) {
         const report = { fingerprint, incarnation, begunMilliseconds: 0 };
-        this.#ledger.report(report, now);
+        this.#ledger.recordReport(report, now);
       }
     }
   }
 
   #persistSuspicion(fingerprint: string): void {
     const isPersisted = this.#persisted.has(fingerprint);
-    if (isPersisted || this.#ledger.maySendAgain(fingerprint)) return;
+    if (isPersisted || this.#ledger.mayRetry(fingerprint)) return;
     if (this.#suspicionBudget.take(1, monotonicMilliseconds()) === 0) return;
     this.#persisted.add(fingerprint);
     if (this.#persisted.size > MAX_PERSISTED_FINGERPRINTS) {
@@ -130,7 +130,7 @@
   #addReports(news: CrashNews): CrashReport[] {
     const now = monotonicMilliseconds();
     const newReports = news.reports.map(decodeCrashReport)
-      .filter((report) => this.#ledger.report(report, now));
+      .filter((report) => this.#ledger.recordReport(report, now));
     if (newReports.length > 0) this.#scheduleDecision();
     return newReports;
   }
@@ -140,7 +140,7 @@
     const now = monotonicMilliseconds();
     const newBlames = blamed
       .map((request) => decodeBlame(request, now))
-      .filter((blame) => this.#ledger.learn(blame));
+      .filter((blame) => this.#ledger.mergeBlame(blame));
     if (newBlames.length > 0) this.#publishBlames(newBlames, "told");
     this.#clear(cleared);
     return newBlames;
@@ -148,7 +148,7 @@
 
   #clear(fingerprints: string[]): void {
     const recorded = new Set([
-      ...this.#ledger.blames().map(({ fingerprint }) => fingerprint),
+      ...this.#ledger.listBlames().map(({ fingerprint }) => fingerprint),
       ...this.#persisted,
     ]);
     const committed = fingerprints
@@ -164,17 +164,17 @@
   #scheduleDecision(): void {
     this.#decideTimer ??= setTimeout(() => {
       this.#decideTimer = undefined;
-      const blames = this.#ledger.decide(monotonicMilliseconds());
+      const blames = this.#ledger.blameSuspects(monotonicMilliseconds());
       if (blames.length > 0) this.#publishBlames(blames, "decided");
       for (const blame of blames) this.blamed$.next(blame);
-      if (this.#ledger.isUndecided) this.#scheduleDecision();
+      if (this.#ledger.hasPendingSuspects) this.#scheduleDecision();
     }, SETTLE_MILLISECONDS);
   }
 
   #publishBlames(blames: Blame[], how: "decided" | "told" | "kept"): void {
     const now = monotonicMilliseconds();
     for (const blame of blames) {
-      const fields = { ...blameFields(blame, now), how };
+      const fields = { ...toBlameFields(blame, now), how };
       this.#options.log.warn("request-blamed", fields);
     }
     this.blameNews$.next(this.#encodeBlames(blames));
--- a/packages/daemon/src/control/entry_session.ts
+++ b/packages/daemon/src/control/entry_session.ts
@@ -22,7 +22,7 @@
 
 type Options = {
   control: ControlHost;
-  ring: TimelineRing;
+  timeline: TimelineRing;
   leaderAddress: () => string;
 };
 
@@ -49,7 +49,7 @@
 
   handleMessage(message: EntryToControl): void {
     this.#receivedAt = monotonicMilliseconds();
-    this.#options.ring.observe(Date.now(), {
+    this.#options.timeline.observe(Date.now(), {
       time: message.clockTime,
       counter: message.clockCounter,
     });
@@ -110,7 +110,7 @@
     const now = monotonicMilliseconds();
     const allotter = control.getAllotter(now);
     if (allotter === undefined) return this.#sendStatus(0);
-    const allotment = allotter.takeReport(control.state, {
+    const allotment = allotter.recordReport(control.state, {
       host: this.#host,
       appliedIndex: report.appliedIndex,
       allotmentSequence: report.allotmentSequence,
@@ -199,7 +199,7 @@
   }
 
   #send(body: MessageInitShape<typeof ControlToEntrySchema>["body"]): void {
-    const clock = this.#options.ring.now(Date.now());
+    const clock = this.#options.timeline.stampMessage(Date.now());
     this.outgoing$.next(create(ControlToEntrySchema, {
       body,
       clockTime: clock.time,
--- a/packages/daemon/src/control/join_cluster.ts
+++ b/packages/daemon/src/control/join_cluster.ts
@@ -52,7 +52,7 @@
       .introduce({ member: self }, { timeoutMs: CALL_TIMEOUT_MILLISECONDS });
     if (answer.founded !== undefined) onMembership(answer.founded);
   } catch (error) {
-    clients.renew(address);
+    clients.dropConnection(address);
     log.debug("introduction-failed", { address, reason: String(error) });
   }
 }
--- a/packages/daemon/src/control/limit_divider.ts
+++ b/packages/daemon/src/control/limit_divider.ts
@@ -1,6 +1,6 @@
 import { create } from "@bufbuild/protobuf";
 import { LimitDivision } from "@teaselrouter/core/named_limits/limit_division.ts";
-import { DueNews } from "@teaselrouter/core/news/due_news.ts";
+import { DueNewsSelector } from "@teaselrouter/core/news/due_news_selector.ts";
 import {
   type LimitDemand,
   type LimitNews,
@@ -64,9 +64,9 @@
   addRemoteNews({ demands }: LimitNews): void {
     const now = monotonicMilliseconds();
     for (const demand of demands) {
-      this.#division.name(decodeLimit(demand, now), now);
+      this.#division.recordLimit(decodeLimit(demand, now), now);
       const { incarnation, host, wantedPerSecond: perSecond } = demand;
-      this.#division.want(incarnation, { host, perSecond }, now);
+      this.#division.recordDemand(incarnation, { host, perSecond }, now);
     }
     if (demands.length === 0) return;
     this.#changeTimer ??= setTimeout(() => {
@@ -76,10 +76,12 @@
   }
 
   /** Selects a follower's parts to send now; undefined if there are none. */
-  selectParts(host: string, selector: DueNews): LimitNews | undefined {
+  selectParts(host: string, selector: DueNewsSelector): LimitNews | undefined {
     if (this.#division.isEmpty) return undefined;
     const now = monotonicMilliseconds();
-    const all = this.#division.partsOf(host, now).map(({ limit, part }) => ({
+    const all = this.#division.computeParts(host, now).map((
+      { limit, part },
+    ) => ({
       key: `${limit.incarnation} ${limit.perSecond ?? "any"}`,
       value: part,
       limit,
@@ -90,10 +92,10 @@
   }
 
   /** Tracks what one follower was sent; initially nothing. */
-  createUpdateSelector(): DueNews {
-    return new DueNews({
-      restMilliseconds: REFRESH_MILLISECONDS,
-      mostPerSecond: MAX_PARTS_PER_SECOND,
+  createUpdateSelector(): DueNewsSelector {
+    return new DueNewsSelector({
+      refreshMilliseconds: REFRESH_MILLISECONDS,
+      maxPerSecond: MAX_PARTS_PER_SECOND,
     });
   }
 
@@ -101,7 +103,7 @@
   currentDemands(): LimitNews | undefined {
     if (this.#division.isEmpty) return undefined;
     const now = monotonicMilliseconds();
-    const demands = this.#division.all(now)
+    const demands = this.#division.listDemands(now)
       .map(({ limit, host, perSecond }) => ({
         ...encodeLimit(limit, now),
         host,
--- a/packages/daemon/src/control/membership_manager.ts
+++ b/packages/daemon/src/control/membership_manager.ts
@@ -10,7 +10,7 @@
 
 const STEP_INTERVAL_MILLISECONDS = 100;
 
-type Options = { control: ControlHost; wantedVoters: number; log: EventLog };
+type Options = { control: ControlHost; targetVoters: number; log: EventLog };
 
 /** Changes the membership automatically while this host leads. */
 export class MembershipManager {
@@ -38,15 +38,15 @@
   }
 
   #proposeNextChange(): void {
-    const { control, wantedVoters, log } = this.#options;
+    const { control, targetVoters: targetVoters, log } = this.#options;
     const { node } = control;
     const now = monotonicMilliseconds();
-    if (!control.isLeading(now) || !node.membershipIsCommitted) return;
+    if (!control.isLeading(now) || !node.isMembershipCommitted) return;
     const members = planMembership({
       selfId: node.id,
       members: node.membership.members,
       candidates: [...this.#candidates.values()],
-      wantedVoters,
+      targetVoters,
       heardAt: (id) => node.heardAt(id),
       isCaughtUp: (id) => node.matchIndexOf(id) >= node.commitIndex,
       now,
--- a/packages/daemon/src/control/peer_links.ts
+++ b/packages/daemon/src/control/peer_links.ts
@@ -56,7 +56,7 @@
     const isSilent = unansweredSince > 0 &&
       now - unansweredSince > ACKNOWLEDGEMENT_TIMEOUT_MILLISECONDS;
     if (!isSilent) return link;
-    this.#clients.renew(address);
+    this.#clients.dropConnection(address);
     this.#links.delete(address);
     link.stop.abort();
     return this.#open(address, now);
@@ -84,7 +84,7 @@
       );
       for await (const _ of acknowledgements) link.unansweredSince = 0;
     } catch {
-      this.#clients.renew(address);
+      this.#clients.dropConnection(address);
     }
     link.outgoing.complete();
     if (this.#links.get(address) !== link) return;
--- a/packages/daemon/src/control/platform_services.ts
+++ b/packages/daemon/src/control/platform_services.ts
@@ -6,7 +6,7 @@
 import { Result } from "true-myth";
 import type { EventLog } from "../log/event_log.ts";
 import type { Closable } from "../platform/closable.ts";
-import type { PlatformEdge } from "../platform/platform_edge.ts";
+import type { PlatformAdapter } from "../platform/platform_adapter.ts";
 import type { Settings } from "../settings/settings.ts";
 import type { ClientPool } from "../transport/client_pool.ts";
 import { decodeBackend } from "../transport/decode_backend.ts";
@@ -29,7 +29,7 @@
   settings: Settings;
   clients: ClientPool;
   log: EventLog;
-  platform: PlatformEdge;
+  platform: PlatformAdapter;
   started$: Observable<ControlHost>;
   control: () => ControlHost | undefined;
   replicatedState: () => ControlState;
@@ -73,18 +73,18 @@
     this.#manifests = new ManifestKeeper({
       store: platform.weightStore,
       log,
-      namedVersion: (model) =>
+      latestNamedVersion: (model) =>
         options.replicatedState().namedWeights.get(model)?.version,
     });
     this.#rollout = new RolloutHub({
       host: settings.name,
       dataCentre: settings.data_centre,
-      weighing: settings.control!.spread_weighing,
+      objective: settings.control!.spread_weighing,
       manifests: this.#manifests,
       log,
       controlAddresses: options.controlAddresses,
-      notice: (notice) => this.view.addEngineNotice(notice),
-      noteLoad: (load) => this.view.addLocalLoad(load),
+      publishNotice: (notice) => this.view.addEngineNotice(notice),
+      publishLoad: (load) => this.view.addLocalLoad(load),
       namedAges: (model) => this.view.namedAges(model),
     });
     this.#otherControlHosts = new FollowSet({
@@ -95,7 +95,7 @@
       },
       selfAddress,
       seeds: settings.control!.founders.map(({ address }) => address),
-      most: MAX_CONTROL_HOSTS,
+      maxLinks: MAX_CONTROL_HOSTS,
       clients,
       log,
     });
@@ -192,7 +192,7 @@
     const { routing } = replicatedState();
     if (routing === undefined) return;
     const decoded = platform.decodeRouting(routing.document);
-    if (decoded.isOk) return this.#manifests.review(decoded.value);
+    if (decoded.isOk) return this.#manifests.updateTargets(decoded.value);
     log.error("routing-unreadable", {
       version: routing.version,
       reason: decoded.error,
@@ -211,7 +211,7 @@
     const text = addresses.join(",");
     if (text === this.#publishedAddresses) return;
     this.#publishedAddresses = text;
-    this.#otherControlHosts.learn(addresses);
+    this.#otherControlHosts.setControlHosts(addresses);
     this.view.controlHostsChanged$.next();
   }
 }
--- a/packages/daemon/src/control/proposal_outcome.ts
+++ b/packages/daemon/src/control/proposal_outcome.ts
@@ -1,11 +1,11 @@
-import type { ChangeAnswer } from "@teaselrouter/core/state/change_answer.ts";
+import type { CommandResult } from "@teaselrouter/core/state/command_result.ts";
 
 /** The outcome of a proposed command. */
 export type ProposalOutcome =
   | {
     kind: "committed";
     index: number;
-    answer: ChangeAnswer;
+    answer: CommandResult;
     /** Whether every entry host with a live lease has applied it. */
     inForce: boolean;
     hostsWithoutLease: string[];
--- a/packages/daemon/src/control/raft_driver.ts
+++ b/packages/daemon/src/control/raft_driver.ts
@@ -77,7 +77,7 @@
 
   receive(message: PeerMessage): void {
     if (this.#isStopped) return;
-    this.#options.log.ring.observe(Date.now(), {
+    this.#options.log.timeline.observe(Date.now(), {
       time: message.clockTime,
       counter: message.clockCounter,
     });
@@ -108,7 +108,7 @@
   }
 
   #processOutput(): void {
-    this.#sendAll(this.#options.node.takeImmediate());
+    this.#sendAll(this.#options.node.takeImmediateMessages());
     if (
       this.#isProcessing || this.#isStopped || !this.#options.node.hasOutput
     ) return;
@@ -123,9 +123,9 @@
   async #processUntilEmpty(): Promise<void> {
     while (!this.#isStopped) {
       const output = this.#options.node.takeOutput();
-      this.#sendAll(output.immediate);
+      this.#sendAll(output.immediateMessages);
       if (!(await this.#persist(output))) return;
-      this.#sendAll(output.afterSync);
+      this.#sendAll(output.messagesAfterSync);
       for (const entry of output.committed) this.committed$.next(entry);
       await this.#compactIfDue();
       if (isEmpty(output)) return;
@@ -199,7 +199,7 @@
     for (const message of messages) {
       const address = this.#addressOf(message.to);
       if (address === undefined) continue;
-      const clock = this.#options.log.ring.now(Date.now());
+      const clock = this.#options.log.timeline.stampMessage(Date.now());
       message.clockTime = clock.time;
       message.clockCounter = clock.counter;
       this.#options.links.send(address, message);
@@ -215,7 +215,7 @@
 }
 
 function isEmpty(output: RaftOutput): boolean {
-  return output.entries.length === 0 && output.afterSync.length === 0 &&
+  return output.entries.length === 0 && output.messagesAfterSync.length === 0 &&
     output.committed.length === 0 && output.hardState === undefined &&
     output.snapshot === undefined;
 }
--- a/packages/daemon/src/control/replace_member.ts
+++ b/packages/daemon/src/control/replace_member.ts
@@ -57,7 +57,7 @@
       return Result.err("no-leader");
     }
     const { node } = control;
-    if (node.membershipIsCommitted && isCaughtUp(control, joining)) {
+    if (node.isMembershipCommitted && isCaughtUp(control, joining)) {
       const members = nextMembers(control, joining);
       if (members === undefined) return Result.ok(joining.id);
       control.proposeMembership(create(MembershipSchema, { members }));
--- a/packages/daemon/src/control/shared_view.ts
+++ b/packages/daemon/src/control/shared_view.ts
@@ -1,6 +1,6 @@
-import { blameOfRow } from "@teaselrouter/core/crashes/blame_of_row.ts";
+import { blameFromRow } from "@teaselrouter/core/crashes/blame_from_row.ts";
 import { BackendRegistry } from "@teaselrouter/core/membership/backend_registry.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import { NamedVersions } from "@teaselrouter/core/rollout/named_versions.ts";
 import type { ControlState } from "@teaselrouter/core/state/control_state.ts";
 import type {
@@ -76,8 +76,8 @@
   readonly limits = new LimitDivider();
   #options: Options;
   #registry = new BackendRegistry({
-    silentMilliseconds: SILENCE_TIMEOUT_MILLISECONDS,
-    forgetMilliseconds: END_RETENTION_MILLISECONDS,
+    silenceTimeoutMilliseconds: SILENCE_TIMEOUT_MILLISECONDS,
+    goneRetentionMilliseconds: END_RETENTION_MILLISECONDS,
   });
   /**
    * Weight versions that this process saw named, and those current when it
@@ -175,14 +175,14 @@
         .filter(({ at }) => timeOfDay - at < SUSPICION_RETENTION_MILLISECONDS),
     );
     this.crashes.restoreBlames(
-      rows.map((row) => blameOfRow(row, { timeOfDay, monotonic }))
+      rows.map((row) => blameFromRow(row, { timeOfDay, monotonic }))
         .filter(({ endsAt }) => endsAt > monotonic),
     );
   }
 
   ageOfWeights(model: string, version: number): number {
     const now = monotonicMilliseconds();
-    return now - (this.#namedVersions.namedAt(model, version) ?? now);
+    return now - (this.#namedVersions.findNamedAt(model, version) ?? now);
   }
 
   /** All known versions of a model, with the time since each was named. */
@@ -207,8 +207,8 @@
   }
 
   /** Adds a standing that a backend server sent to this host. */
-  addLocalStanding(standing: BackendStanding): void {
-    const changed = this.#registry.take(standing, monotonicMilliseconds());
+  addLocalStanding(standing: BackendAnnouncement): void {
+    const changed = this.#registry.merge(standing, monotonicMilliseconds());
     const encoded = encodeBackend(standing);
     // A mere sign of life can wait for the batch. A change is published before
     // the backend server gets its answer.
@@ -219,16 +219,16 @@
 
   /** Marks a backend server as gone that told this host it is leaving. */
   removeLocalBackend(instance: string): void {
-    const ended = this.#registry.leave(instance, monotonicMilliseconds());
+    const ended = this.#registry.markGone(instance, monotonicMilliseconds());
     if (ended.length > 0) this.localBackends$.next(ended.map(encodeBackend));
     this.#publishChanges(ended, "heard");
   }
 
   /** Adds standings that another control host received. */
-  addRemoteStandings(standings: BackendStanding[]): void {
+  addRemoteStandings(standings: BackendAnnouncement[]): void {
     const now = monotonicMilliseconds();
     for (const standing of standings) {
-      this.#publishChanges(this.#registry.take(standing, now), "passed-on");
+      this.#publishChanges(this.#registry.merge(standing, now), "passed-on");
     }
   }
 
@@ -263,7 +263,7 @@
     );
   }
 
-  #publishChanges(changed: BackendStanding[], how: string): void {
+  #publishChanges(changed: BackendAnnouncement[], how: string): void {
     if (changed.length === 0) return;
     for (const standing of changed) {
       this.#options.log.info("backend-server-changed", {
--- a/packages/daemon/src/control/shared_view_test.ts
+++ b/packages/daemon/src/control/shared_view_test.ts
@@ -1,4 +1,4 @@
-import { emptyControlState } from "@teaselrouter/core/state/empty_control_state.ts";
+import { createEmptyControlState } from "@teaselrouter/core/state/create_empty_control_state.ts";
 import { create } from "@bufbuild/protobuf";
 import {
   type EngineLoad,
@@ -19,7 +19,7 @@
       flush: () => Promise.resolve(),
     }),
     dataCentre: "here",
-    replicatedState: emptyControlState,
+    replicatedState: createEmptyControlState,
     controlAddresses: () => [],
     isCurrent: () => true,
   });
--- a/packages/daemon/src/entry/calls/call_crashes.ts
+++ b/packages/daemon/src/entry/calls/call_crash_detector.ts
@@ -1,9 +1,9 @@
-import { blameOfRow } from "@teaselrouter/core/crashes/blame_of_row.ts";
+import { blameFromRow } from "@teaselrouter/core/crashes/blame_from_row.ts";
 import type { Blame } from "@teaselrouter/core/crashes/blame.ts";
 import { CrashLedger } from "@teaselrouter/core/crashes/crash_ledger.ts";
 import type { ControlState } from "@teaselrouter/core/state/control_state.ts";
 import { createHash } from "node:crypto";
-import { blameFields } from "../../log/blame_fields.ts";
+import { toBlameFields } from "../../log/to_blame_fields.ts";
 import type { EventLog } from "../../log/event_log.ts";
 import type { Problem } from "../../http/problem.ts";
 import { monotonicMilliseconds } from "../../transport/monotonic_milliseconds.ts";
@@ -25,7 +25,7 @@
  * them. Blames are stored in the replicated tables, so that they reach the
  * other entry hosts and survive a restart.
  */
-export class CallCrashes {
+export class CallCrashDetector {
   #options: Options;
   #ledger = new CrashLedger({ settleMilliseconds: REPORT_SETTLE_MILLISECONDS });
   /** Fingerprints of the blamed calls in the replicated tables. */
@@ -50,7 +50,7 @@
    * Takes over the blames of changed tables: other entry hosts may have blamed
    * or cleared a call.
    */
-  follow({ blamedRequests }: ControlState): void {
+  applyBlames({ blamedRequests }: ControlState): void {
     const now = {
       timeOfDay: Date.now(),
       monotonic: monotonicMilliseconds(),
@@ -60,8 +60,8 @@
     }
     this.#replicatedFingerprints = new Set(blamedRequests.keys());
     for (const row of blamedRequests.values()) {
-      const blame = blameOfRow(row, now);
-      if (blame.endsAt > now.monotonic) this.#ledger.learn(blame);
+      const blame = blameFromRow(row, now);
+      if (blame.endsAt > now.monotonic) this.#ledger.mergeBlame(blame);
     }
   }
 
@@ -70,13 +70,13 @@
    * expired, this lets one call through as a trial and refuses others
    * meanwhile.
    */
-  refusal(call: CheckedCall): Problem | undefined {
+  checkBlame(call: CheckedCall): Problem | undefined {
     if (!this.#ledger.hasBlamed) return undefined;
     const now = monotonicMilliseconds();
-    const blame = this.#ledger.refusal(computeFingerprint(call), now);
+    const blame = this.#ledger.checkBlame(computeFingerprint(call), now);
     if (blame === undefined) return undefined;
     const { log } = this.#options;
-    const fields = { ...blameFields(blame, now), outcome: "not-run" };
+    const fields = { ...toBlameFields(blame, now), outcome: "not-run" };
     log.info("blamed-request-refused", fields);
     return {
       status: 503,
@@ -90,7 +90,7 @@
   /** Whether this host may retry the call without the caller asking again. */
   mayRetry(call: CheckedCall): boolean {
     return this.#ledger.suspectCount === 0 ||
-      this.#ledger.maySendAgain(computeFingerprint(call));
+      this.#ledger.mayRetry(computeFingerprint(call));
   }
 
   /**
@@ -110,7 +110,10 @@
       fingerprint,
       begun_milliseconds: Math.round(begunMilliseconds),
     });
-    this.#ledger.report({ fingerprint, incarnation, begunMilliseconds }, now);
+    this.#ledger.recordReport(
+      { fingerprint, incarnation, begunMilliseconds },
+      now,
+    );
     this.#scheduleDecision();
   }
 
@@ -126,16 +129,16 @@
   #scheduleDecision(): void {
     this.#decideTimer ??= setTimeout(() => {
       this.#decideTimer = undefined;
-      const blames = this.#ledger.decide(monotonicMilliseconds());
+      const blames = this.#ledger.blameSuspects(monotonicMilliseconds());
       for (const blame of blames) this.#replicateBlame(blame);
-      if (this.#ledger.isUndecided) this.#scheduleDecision();
+      if (this.#ledger.hasPendingSuspects) this.#scheduleDecision();
     }, REPORT_SETTLE_MILLISECONDS);
   }
 
   /** Logs a new blame and proposes it to the replicated tables. */
   #replicateBlame(blame: Blame): void {
     const { control, log } = this.#options;
-    const fields = blameFields(blame, monotonicMilliseconds());
+    const fields = toBlameFields(blame, monotonicMilliseconds());
     log.warn("request-blamed", { ...fields, how: "decided" });
     const { endsAt: _endsAt, ...fieldsToStore } = blame;
     control.propose({
--- a/packages/daemon/src/entry/calls/call_handler.ts
+++ b/packages/daemon/src/entry/calls/call_handler.ts
@@ -101,7 +101,7 @@
     response: ServerResponse,
   ): Promise<Problem | undefined> {
     const context = this.#context;
-    const refusal = context.crashes.refusal(call);
+    const refusal = context.crashes.checkBlame(call);
     if (refusal !== undefined) return maskUnverifiedNotRun(request, refusal);
     const repeatable = context.table.ofService(call.service).at(0)?.repeatable;
     if (repeatable !== false) {
--- a/packages/daemon/src/entry/calls/call_problems.ts
+++ b/packages/daemon/src/entry/calls/call_problems.ts
@@ -30,7 +30,7 @@
       field: "Idempotency-Key",
       detail: "this key was used for another call",
       outcome: "not-run",
-      consultedLog: true,
+      isOutcomeFromLog: true,
     };
   },
 };
--- a/packages/daemon/src/entry/calls/exchange_reader.ts
+++ b/packages/daemon/src/entry/calls/exchange_reader.ts
@@ -59,7 +59,7 @@
         yield { kind: "broken", reason: "agent-unreachable" };
         return;
       }
-      this.#options.clients.renew(this.#options.address);
+      this.#options.clients.dropConnection(this.#options.address);
       await pause(RECONNECT_DELAY_MILLISECONDS);
     }
   }
--- a/packages/daemon/src/entry/calls/mask_unverified_not_run.ts
+++ b/packages/daemon/src/entry/calls/mask_unverified_not_run.ts
@@ -13,6 +13,6 @@
   problem: Problem,
 ): Problem {
   const keyed = request.headers["idempotency-key"] !== undefined;
-  const guessed = problem.outcome === "not-run" && !problem.consultedLog;
+  const guessed = problem.outcome === "not-run" && !problem.isOutcomeFromLog;
   return keyed && guessed ? { ...problem, outcome: "unknown" } : problem;
 }
--- a/packages/daemon/src/entry/calls/repeatable_call.ts
+++ b/packages/daemon/src/entry/calls/repeatable_call.ts
@@ -11,7 +11,7 @@
 import type { ClientPool } from "../../transport/client_pool.ts";
 import { monotonicMilliseconds } from "../../transport/monotonic_milliseconds.ts";
 import type { AnswerPart } from "./answer_part.ts";
-import type { CallCrashes } from "./call_crashes.ts";
+import type { CallCrashDetector } from "./call_crash_detector.ts";
 import type { CheckedCall } from "./checked_call.ts";
 import { ExchangeReader } from "./exchange_reader.ts";
 import type { Problem } from "../../http/problem.ts";
@@ -25,7 +25,7 @@
   outliers: OutlierDetector;
   retries: RetryBudget;
   clients: ClientPool;
-  crashes: CallCrashes;
+  crashes: CallCrashDetector;
 };
 
 type Refused = Extract<AnswerPart, { kind: "refused" }>;
@@ -86,7 +86,7 @@
       if (!attempt.canRetry || this.#aborter.signal.aborted) return lastProblem;
       const { crashes } = this.#services;
       if (!crashes.mayRetry(this.#call)) return lastProblem;
-      if (crashes.refusal(this.#call) !== undefined) return lastProblem;
+      if (crashes.checkBlame(this.#call) !== undefined) return lastProblem;
       if (!this.#services.retries.tryRetry()) return lastProblem;
     }
   }
--- a/packages/daemon/src/entry/calls/unrepeatable_call.ts
+++ b/packages/daemon/src/entry/calls/unrepeatable_call.ts
@@ -13,7 +13,7 @@
 import type { ClientPool } from "../../transport/client_pool.ts";
 import { monotonicMilliseconds } from "../../transport/monotonic_milliseconds.ts";
 import { callProblems } from "./call_problems.ts";
-import type { CallCrashes } from "./call_crashes.ts";
+import type { CallCrashDetector } from "./call_crash_detector.ts";
 import type { CheckedCall } from "./checked_call.ts";
 import { ExchangeReader } from "./exchange_reader.ts";
 import type { Problem } from "../../http/problem.ts";
@@ -31,7 +31,7 @@
   router: Router;
   table: BackendServerTable;
   clients: ClientPool;
-  crashes: CallCrashes;
+  crashes: CallCrashDetector;
 };
 
 /**
--- a/packages/daemon/src/entry/entry_app.ts
+++ b/packages/daemon/src/entry/entry_app.ts
@@ -6,7 +6,7 @@
 import { Router } from "@teaselrouter/core/routing/router.ts";
 import { defaultSpreadOptions } from "@teaselrouter/core/spread/default_spread_options.ts";
 import { RarestRanking } from "@teaselrouter/core/spread/rarest_ranking.ts";
-import { SwapPolicy } from "@teaselrouter/core/spread/swap_policy.ts";
+import { PeerExchangePolicy } from "@teaselrouter/core/spread/peer_exchange_policy.ts";
 import { versionName } from "@teaselrouter/core/spread/version_name.ts";
 import type { ControlState } from "@teaselrouter/core/state/control_state.ts";
 import { AgentService } from "@teaselrouter/messages/agent.ts";
@@ -20,7 +20,7 @@
 import { pause } from "../transport/pause.ts";
 import { toAsyncIterable } from "../transport/to_async_iterable.ts";
 import { AgentSession } from "./sessions/agent_session.ts";
-import { CallCrashes } from "./calls/call_crashes.ts";
+import { CallCrashDetector } from "./calls/call_crash_detector.ts";
 import { CallHandler } from "./calls/call_handler.ts";
 import { ControlSession } from "./sessions/control_session.ts";
 import type { EntryContext } from "./entry_context.ts";
@@ -87,7 +87,7 @@
     const table = new BackendServerTable();
     const outliers = new OutlierDetector();
     const control = new ControlSession({
-      hello: this.#createHello(),
+      identity: this.#createIdentity(),
       controlHosts: entry.control_hosts,
       clients,
       log,
@@ -96,7 +96,7 @@
     const policy = new PredictedWaitPolicy({
       random: Math.random,
       dataCentre: settings.data_centre,
-      crossingMilliseconds: entry.crossing_milliseconds,
+      crossDataCentreMilliseconds: entry.crossing_milliseconds,
     });
     this.#context = {
       control,
@@ -106,12 +106,12 @@
       clients,
       router: new Router({ table, outliers, policy }),
       retries: new RetryBudget(),
-      crashes: new CallCrashes({ control, log }),
+      crashes: new CallCrashDetector({ control, log }),
     };
     this.#coordinator = new SpreadCoordinator({
       dataCentre: settings.data_centre,
-      policy: new SwapPolicy({
-        weighing: entry.spread_weighing,
+      policy: new PeerExchangePolicy({
+        objective: entry.spread_weighing,
         random: Math.random,
         ranking: new RarestRanking(),
         ...defaultSpreadOptions,
@@ -130,7 +130,7 @@
       readStatus: () => readStatus(settings, this.#context),
       readTimeline: (since) =>
         readTimeline(
-          { settings, context: this.#context, ring: log.ring },
+          { settings, context: this.#context, timeline: log.timeline },
           since,
         ),
     });
@@ -220,7 +220,7 @@
   async #deregister(): Promise<void> {
     await this.#context.control.propose({
       kind: "register-entry",
-      ...this.#createHello(),
+      ...this.#createIdentity(),
       stopped: true,
     }, DEREGISTRATION_TIMEOUT_MILLISECONDS);
   }
@@ -246,7 +246,7 @@
     sendProblem(response, maskUnverifiedNotRun(request, STARTING_PROBLEM));
   }
 
-  #createHello() {
+  #createIdentity() {
     const { settings } = this.#options;
     return {
       host: settings.name,
@@ -268,7 +268,7 @@
     while (!this.#stopping) {
       const reply = await control.propose({
         kind: "register-entry",
-        ...this.#createHello(),
+        ...this.#createIdentity(),
         stopped: false,
       });
       if (reply.kind === "committed" || this.#isRegistered()) break;
@@ -289,7 +289,7 @@
 
   #applyState(state: ControlState): void {
     this.#context.limits.updateContracts(state, Date.now());
-    this.#context.crashes.follow(state);
+    this.#context.crashes.applyBlames(state);
     const versions = new Set<string>();
     for (const weights of state.weights.values()) {
       versions.add(versionName(weights.manifest));
--- a/packages/daemon/src/entry/entry_context.ts
+++ b/packages/daemon/src/entry/entry_context.ts
@@ -3,7 +3,7 @@
 import type { RetryBudget } from "@teaselrouter/core/routing/retry_budget.ts";
 import type { Router } from "@teaselrouter/core/routing/router.ts";
 import type { ClientPool } from "../transport/client_pool.ts";
-import type { CallCrashes } from "./calls/call_crashes.ts";
+import type { CallCrashDetector } from "./calls/call_crash_detector.ts";
 import type { ControlSession } from "./sessions/control_session.ts";
 import type { LimitsRegistry } from "./sessions/limits_registry.ts";
 
@@ -15,6 +15,6 @@
   outliers: OutlierDetector;
   retries: RetryBudget;
   limits: LimitsRegistry;
-  crashes: CallCrashes;
+  crashes: CallCrashDetector;
   clients: ClientPool;
 };
--- a/packages/daemon/src/entry/operators/read_timeline.ts
+++ b/packages/daemon/src/entry/operators/read_timeline.ts
@@ -8,7 +8,7 @@
 type Options = {
   settings: Settings;
   context: EntryContext;
-  ring: TimelineRing;
+  timeline: TimelineRing;
 };
 
 type Event = {
@@ -33,7 +33,7 @@
   options: Options,
   since: number,
 ): Promise<{ events: Event[]; unreachable: string[] }> {
-  const { settings, context, ring } = options;
+  const { settings, context, timeline } = options;
   const { state } = context.control;
   const addresses = new Set([
     ...settings.entry!.control_hosts,
@@ -41,7 +41,7 @@
     ...context.table.all().map((row) => row.internalAddress),
   ]);
   addresses.delete(settings.internal.listen);
-  const events: Event[] = ring.since(since);
+  const events: Event[] = timeline.eventsSince(since);
   const unreachable: string[] = [];
   await Promise.all([...addresses].map(async (address) => {
     const client = context.clients.client(TimelineService, address);
--- a/packages/daemon/src/entry/sessions/agent_session.ts
+++ b/packages/daemon/src/entry/sessions/agent_session.ts
@@ -63,7 +63,7 @@
 
   handleMessage(message: AgentToEntry): void {
     this.#heardAt = Date.now();
-    this.#options.log.ring.observe(this.#heardAt, {
+    this.#options.log.timeline.observe(this.#heardAt, {
       time: message.clockTime,
       counter: message.clockCounter,
     });
@@ -74,7 +74,7 @@
       case "load":
         return this.#handleLoadReport(body.value);
       case "chunks":
-        return this.#options.coordinator.takeReport(
+        return this.#options.coordinator.recordReport(
           this.#backendServer,
           body.value,
         );
@@ -241,7 +241,7 @@
   }
 
   #send(body: MessageInitShape<typeof EntryToAgentSchema>["body"]): void {
-    const clock = this.#options.log.ring.now(Date.now());
+    const clock = this.#options.log.timeline.stampMessage(Date.now());
     this.outgoing$.next(create(EntryToAgentSchema, {
       body,
       clockTime: clock.time,
--- a/packages/daemon/src/entry/sessions/control_session.ts
+++ b/packages/daemon/src/entry/sessions/control_session.ts
@@ -3,7 +3,7 @@
 import type { Command } from "@teaselrouter/core/state/command.ts";
 import type { ControlState } from "@teaselrouter/core/state/control_state.ts";
 import { decodeControlState } from "@teaselrouter/core/state/decode_control_state.ts";
-import { emptyControlState } from "@teaselrouter/core/state/empty_control_state.ts";
+import { createEmptyControlState } from "@teaselrouter/core/state/create_empty_control_state.ts";
 import type {
   Allotment,
   ControlStatus,
@@ -34,7 +34,7 @@
 const PROPOSAL_RETRY_DELAY_MILLISECONDS = 100;
 
 type Options = {
-  hello: {
+  identity: {
     host: string;
     dataCentre: string;
     incarnation: string;
@@ -57,7 +57,7 @@
   readonly changed$ = new Subject<ControlState>();
   /** Emits allotments with the time at which the report they answer was sent. */
   readonly allotted$ = new Subject<{ allotment: Allotment; sentAt: number }>();
-  state: ControlState = emptyControlState();
+  state: ControlState = createEmptyControlState();
   #options: Options;
   #outgoing: Subject<EntryToControl> | undefined;
   #isConnectedToLeader = false;
@@ -200,7 +200,7 @@
       );
       for await (const message of incoming) this.#handleMessage(message);
     } catch {
-      this.#options.clients.renew(address);
+      this.#options.clients.dropConnection(address);
     } finally {
       clearInterval(watchTimer);
       outgoing.complete();
@@ -229,14 +229,14 @@
     return create(EntryToControlSchema, {
       body: {
         case: "hello",
-        value: { ...this.#options.hello, cursor: this.state.appliedIndex },
+        value: { ...this.#options.identity, cursor: this.state.appliedIndex },
       },
     });
   }
 
   #handleMessage(message: ControlToEntry): void {
     this.#heardAt = Date.now();
-    this.#options.log.ring.observe(this.#heardAt, {
+    this.#options.log.timeline.observe(this.#heardAt, {
       time: message.clockTime,
       counter: message.clockCounter,
     });
@@ -326,7 +326,7 @@
   }
 
   #send(body: MessageInitShape<typeof EntryToControlSchema>["body"]): void {
-    const clock = this.#options.log.ring.now(Date.now());
+    const clock = this.#options.log.timeline.stampMessage(Date.now());
     this.#outgoing?.next(create(EntryToControlSchema, {
       body,
       clockTime: clock.time,
--- a/packages/daemon/src/entry/sessions/proposal_reply.ts
+++ b/packages/daemon/src/entry/sessions/proposal_reply.ts
@@ -1,11 +1,11 @@
-import type { ChangeAnswer } from "@teaselrouter/core/state/change_answer.ts";
+import type { CommandResult } from "@teaselrouter/core/state/command_result.ts";
 
 /** The outcome of a command that an entry host proposed, as far as known. */
 export type ProposalReply =
   | {
     kind: "committed";
     index: number;
-    answer: ChangeAnswer;
+    answer: CommandResult;
     inForce: boolean;
     hostsWithoutLease: string[];
   }
--- a/packages/daemon/src/gateway/admit_call.ts
+++ b/packages/daemon/src/gateway/admit_call.ts
@@ -1,5 +1,5 @@
 import { pickTarget } from "@teaselrouter/core/gateway/pick_target.ts";
-import type { RequestFacts } from "@teaselrouter/core/gateway/request_facts.ts";
+import type { RequestMetadata } from "@teaselrouter/core/gateway/request_metadata.ts";
 import { retryAfter } from "@teaselrouter/core/gateway/retry_after.ts";
 import type { Route } from "@teaselrouter/core/gateway/route.ts";
 import type { RouteTable } from "@teaselrouter/core/gateway/route_table.ts";
@@ -31,7 +31,7 @@
   request: IncomingMessage,
   startedAt: number,
 ): Promise<Result<AdmittedCall, CallRefusal>> {
-  const facts = context.format.readRequest(request.headers);
+  const metadata = context.format.readRequest(request.headers);
   const table = context.feed.table;
   if (table === undefined) {
     return Result.err({
@@ -39,7 +39,7 @@
       reason: "no routing configuration is known yet",
       retryAfterMilliseconds: retryAfter({
         cause: "outage",
-        patienceMilliseconds: facts.deadlineMilliseconds ??
+        patienceMilliseconds: metadata.deadlineMilliseconds ??
           DEFAULT_PATIENCE_MILLISECONDS,
         random: context.random(),
       }),
@@ -50,24 +50,24 @@
   ) {
     return refuse(431, "its headers are larger than the configuration allows");
   }
-  const match = matchRoute(table, request, facts);
+  const match = matchRoute(table, request, metadata);
   if (match.isErr) return Result.err(match.error);
-  if (facts.id === undefined) return refuse(400, "the attempt has no id");
+  if (metadata.id === undefined) return refuse(400, "the attempt has no id");
   const body = await readRequestBody(table, request);
   if (body.isErr) return Result.err(body.error);
   const { route, workspace, rank } = match.value;
-  const service = table.service(pickTarget(route, context.random()))!;
+  const service = table.findService(pickTarget(route, context.random()))!;
   const patience = Math.min(
     route.timeoutMilliseconds,
-    facts.deadlineMilliseconds ?? Infinity,
+    metadata.deadlineMilliseconds ?? Infinity,
   );
-  const spentBefore = context.patience.spentBefore(
+  const spentMilliseconds = context.patience.estimateSpentMilliseconds(
     route,
-    facts.deadlineMilliseconds,
+    metadata.deadlineMilliseconds,
   );
   return Result.ok({
-    id: facts.id,
-    facts,
+    id: metadata.id,
+    metadata,
     route,
     service,
     workspace,
@@ -77,8 +77,8 @@
     rawHeaders: request.rawHeaders,
     body: body.value,
     startedAt,
-    spentBeforeMilliseconds: spentBefore,
-    lateAt: startedAt + route.targetMilliseconds - spentBefore,
+    spentBeforeMilliseconds: spentMilliseconds,
+    lateAt: startedAt + route.targetMilliseconds - spentMilliseconds,
     deadlineAt: startedAt + patience,
   });
 }
@@ -95,7 +95,7 @@
 function matchRoute(
   table: RouteTable,
   request: IncomingMessage,
-  facts: RequestFacts,
+  metadata: RequestMetadata,
 ): Result<RouteMatch, CallRefusal> {
   const host = (request.headers.host ?? "").toLowerCase().replace(/:\d+$/, "");
   const route = table.match(host, request.url ?? "/");
@@ -107,9 +107,9 @@
       rank: priorityToRank(route.priority),
     });
   }
-  const workspace = facts.key === undefined
+  const workspace = metadata.key === undefined
     ? undefined
-    : table.workspaceOf(facts.key);
+    : table.findWorkspaceByKey(metadata.key);
   if (workspace === undefined) return refuse(401, "the key is not known");
   const rank = priorityToRank(workspace.priority ?? route.priority);
   return Result.ok({ route, workspace: workspace.name, rank });
--- a/packages/daemon/src/gateway/admitted_call.ts
+++ b/packages/daemon/src/gateway/admitted_call.ts
@@ -1,4 +1,4 @@
-import type { RequestFacts } from "@teaselrouter/core/gateway/request_facts.ts";
+import type { RequestMetadata } from "@teaselrouter/core/gateway/request_metadata.ts";
 import type { Route } from "@teaselrouter/core/gateway/route.ts";
 import type { ServiceDefinition } from "@teaselrouter/core/gateway/service_definition.ts";
 import type { Buffer } from "node:buffer";
@@ -6,7 +6,7 @@
 /** A request that was checked and is to be routed. */
 export type AdmittedCall = {
   id: string;
-  facts: RequestFacts;
+  metadata: RequestMetadata;
   route: Route;
   service: ServiceDefinition;
   workspace: string | undefined;
--- a/packages/daemon/src/gateway/answer_forwarder.ts
+++ b/packages/daemon/src/gateway/answer_forwarder.ts
@@ -103,9 +103,9 @@
 
   #writeHead(message: IncomingMessage): void {
     const { context, call, response } = this.#options;
-    const headers = context.format.returnHeaders(message.rawHeaders);
+    const headers = context.format.filterAnswerHeaders(message.rawHeaders);
     response.writeHead(message.statusCode ?? 502, headers);
-    context.metrics.headMilliseconds.observe(
+    context.metrics.answerHeadMilliseconds.observe(
       { kind: call.route.kind },
       monotonicMilliseconds() - call.startedAt,
     );
--- a/packages/daemon/src/gateway/attempt_outcome.ts
+++ b/packages/daemon/src/gateway/attempt_outcome.ts
@@ -1,10 +1,10 @@
-import type { AnswerFacts } from "@teaselrouter/core/gateway/answer_facts.ts";
+import type { AnswerMetadata } from "@teaselrouter/core/gateway/answer_metadata.ts";
 import type { IncomingMessage } from "node:http";
 
 /** Outcome of one attempt to send a request to a backend server. */
 export type AttemptOutcome =
   /** The head of an answer was received; its body is still to be read. */
-  | { kind: "answer"; message: IncomingMessage; facts: AnswerFacts }
+  | { kind: "answer"; message: IncomingMessage; metadata: AnswerMetadata }
   /**
    * No byte of the request reached the backend server, or the backend server
    * says that the request didn't run.
