--- a/packages/daemon/src/gateway/backend_attempt.ts
+++ b/packages/daemon/src/gateway/backend_attempt.ts
@@ -1,4 +1,4 @@
-import type { AnswerFacts } from "@teaselrouter/core/gateway/answer_facts.ts";
+import type { AnswerMetadata } from "@teaselrouter/core/gateway/answer_metadata.ts";
 import type { Buffer } from "node:buffer";
 import {
   type ClientRequest,
@@ -32,10 +32,10 @@
   id: string;
   format: RequestFormat;
   /**
-   * Called with the facts in an answer's headers, unless a backend server other
+   * Called with the metadata in an answer's headers, unless a backend server other
    * than the one addressed sent the answer.
    */
-  onFacts: (facts: AnswerFacts) => void;
+  onMetadata: (metadata: AnswerMetadata) => void;
 };
 
 /** One attempt to send a request to one backend server. */
@@ -137,15 +137,15 @@
   }
 
   #handleResponse(message: IncomingMessage): void {
-    const { format, id, onFacts } = this.#options;
-    const facts = format.readAnswer(message.headers);
-    if (message.statusCode !== MISDIRECTED_STATUS) onFacts(facts);
+    const { format, id, onMetadata } = this.#options;
+    const metadata = format.readAnswer(message.headers);
+    if (message.statusCode !== MISDIRECTED_STATUS) onMetadata(metadata);
     message.on("error", () => undefined);
-    if (facts.id !== undefined && facts.id !== id) {
+    if (metadata.id !== undefined && metadata.id !== id) {
       this.abort("the answer is another request's");
       return;
     }
-    if (facts.isNotRun) {
+    if (metadata.isNotRun) {
       message.resume();
       this.#settle({
         kind: "not-run",
@@ -154,7 +154,7 @@
       });
       return;
     }
-    this.#settle({ kind: "answer", message, facts });
+    this.#settle({ kind: "answer", message, metadata });
   }
 
   #fail(reason: string): void {
--- a/packages/daemon/src/gateway/backend_attempt_test.ts
+++ b/packages/daemon/src/gateway/backend_attempt_test.ts
@@ -13,7 +13,7 @@
   readRequest: () => {
     throw new Error("not used");
   },
-  forwardHeaders: (raw) => raw,
+  buildForwardHeaders: (raw) => raw,
   readAnswer: (headers) => ({
     id: headers["id"] as string | undefined,
     isNotRun: headers["not-run"] !== undefined,
@@ -22,8 +22,8 @@
     limitPerSecond: undefined,
     load: undefined,
   }),
-  returnHeaders: (raw) => raw,
-  promisesNotRun: (status) => status === 503,
+  filterAnswerHeaders: (raw) => raw,
+  guaranteesNotRun: (status) => status === 503,
 };
 
 /** Sends one request to a backend server that handles it with `answer`. */
@@ -44,7 +44,7 @@
     body: undefined,
     id: "a1",
     format,
-    onFacts: () => undefined,
+    onMetadata: () => undefined,
   });
   const outcome = await sent.outcome;
   const body = outcome.kind === "answer"
@@ -113,7 +113,7 @@
     body: undefined,
     id: "a1",
     format,
-    onFacts: () => undefined,
+    onMetadata: () => undefined,
   });
   const outcome = await refused.outcome;
   assert.ok(outcome.kind === "not-run" && outcome.isUnreachable);
--- a/packages/daemon/src/gateway/backend_pool.ts
+++ b/packages/daemon/src/gateway/backend_pool.ts
@@ -1,12 +1,12 @@
-import type { BackendChoice } from "@teaselrouter/core/gateway/backend_choice.ts";
+import type { BackendCandidate } from "@teaselrouter/core/gateway/backend_candidate.ts";
 import { BackendRecord } from "@teaselrouter/core/gateway/backend_record.ts";
 import { chooseBackend } from "@teaselrouter/core/gateway/choose_backend.ts";
-import { noteUsualLoad } from "@teaselrouter/core/gateway/note_usual_load.ts";
+import { updateAssumedLoad } from "@teaselrouter/core/gateway/update_assumed_load.ts";
 import type { EngineDefinition } from "@teaselrouter/core/gateway/engine_definition.ts";
 import { pickHomeBackends } from "@teaselrouter/core/gateway/pick_home_backends.ts";
 import { SlotPressure } from "@teaselrouter/core/gateway/slot_pressure.ts";
 import { weightsMargins } from "@teaselrouter/core/rollout/weights_margins.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import type { EngineLoad } from "@teaselrouter/messages/follow.ts";
 import type { Observable } from "rxjs";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
@@ -36,7 +36,7 @@
 
 type HomeSelection = {
   /** Backend servers that `home` was picked from. */
-  standings: readonly BackendStanding[];
+  standings: readonly BackendAnnouncement[];
   home: ReadonlySet<string>;
 };
 
@@ -52,7 +52,7 @@
   weightsBoundMilliseconds: number;
   namedLimits: NamedLimits;
   /** Emits backend servers whose process was found to have ended. */
-  endedServers$: Observable<BackendStanding>;
+  endedServers$: Observable<BackendAnnouncement>;
 };
 
 /** Chooses among the backend servers and keeps a record of each. */
@@ -79,7 +79,7 @@
   /**
    * Drops the record of an instance that is gone or was restarted under its id.
    */
-  #resetIfRestarted({ instance, state, bornAt }: BackendStanding): void {
+  #resetIfRestarted({ instance, state, bornAt }: BackendAnnouncement): void {
     const known = this.#bornAt.get(instance);
     const isNewStart = known !== undefined && known !== bornAt;
     if (state === "gone" || isNewStart) this.#records.delete(instance);
@@ -91,9 +91,9 @@
    * Ejects a backend server at once when its process has ended: its missing
    * heartbeats show only seconds later.
    */
-  #ejectEnded({ instance, bornAt }: BackendStanding): void {
+  #ejectEnded({ instance, bornAt }: BackendAnnouncement): void {
     if (this.#bornAt.get(instance) !== bornAt) return;
-    this.recordOf(instance).leaveAside(monotonicMilliseconds());
+    this.recordOf(instance).eject(monotonicMilliseconds());
   }
 
   recordOf(instance: string): BackendRecord {
@@ -116,9 +116,9 @@
   }
 
   /** Best eligible backend server for a request; undefined if there is none. */
-  choose(query: BackendQuery): BackendChoice | undefined {
+  choose(query: BackendQuery): BackendCandidate | undefined {
     const usable = this.#findUsable(query);
-    noteUsualLoad(usable, monotonicMilliseconds());
+    updateAssumedLoad(usable, monotonicMilliseconds());
     const best = this.#chooseBest(usable, query);
     const isLimited = best !== undefined &&
       this.#options.namedLimits.isLimited(best.standing);
@@ -130,18 +130,18 @@
    * over.
    */
   #chooseWithinLimits(
-    usable: BackendChoice[],
+    usable: BackendCandidate[],
     query: BackendQuery,
-  ): BackendChoice | undefined {
+  ): BackendCandidate | undefined {
     const { namedLimits } = this.#options;
     let remaining = usable;
-    const passedOver: BackendChoice[] = [];
+    const passedOver: BackendCandidate[] = [];
     while (true) {
       const best = this.#chooseBest(remaining, query);
       // A backend server that is ejected, silent or on trial doesn't count as
       // one with room: rather tell the client when a limited one has room.
       const isLastResort = passedOver.length > 0 && best !== undefined &&
-        !best.record.isPromising(monotonicMilliseconds());
+        !best.record.isAvailable(monotonicMilliseconds());
       if (isLastResort) return undefined;
       const isAdmitted = best === undefined ||
         (query.willSend
@@ -155,7 +155,7 @@
         return best;
       }
       passedOver.push(best);
-      remaining = remaining.filter((choice) => choice !== best);
+      remaining = remaining.filter((candidate) => candidate !== best);
     }
   }
 
@@ -171,7 +171,7 @@
     return waits.length === 0 ? undefined : Math.min(...waits);
   }
 
-  #findUsable(query: BackendQuery): BackendChoice[] {
+  #findUsable(query: BackendQuery): BackendCandidate[] {
     return this.#options.feed.backendsOf(query.service)
       .filter((standing) => this.#isEligible(standing, query))
       .map((standing) => ({
@@ -181,11 +181,11 @@
   }
 
   #chooseBest(
-    usable: BackendChoice[],
+    usable: BackendCandidate[],
     query: BackendQuery,
-  ): BackendChoice | undefined {
+  ): BackendCandidate | undefined {
     const now = monotonicMilliseconds();
-    const healthy = usable.filter(({ record }) => record.isPromising(now));
+    const healthy = usable.filter(({ record }) => record.isAvailable(now));
     // With all of them ejected, as when a service has three and a fault hits
     // their zone, an attempt that may fail is better than a certain refusal.
     return chooseBackend(healthy.length > 0 ? healthy : usable, {
@@ -218,11 +218,11 @@
       if (standing === undefined) continue;
       const report = { running, waiting, slots: standing.slots };
       const record = this.recordOf(standing.instance);
-      record.takeReport(report, now, LOAD_REPORT_AGE_MILLISECONDS);
+      record.recordReport(report, now, LOAD_REPORT_AGE_MILLISECONDS);
     }
   }
 
-  #isEligible(standing: BackendStanding, query: BackendQuery): boolean {
+  #isEligible(standing: BackendAnnouncement, query: BackendQuery): boolean {
     if (standing.state !== "ready" || query.tried.has(standing.instance)) {
       return false;
     }
@@ -237,7 +237,7 @@
    * empty or loading holds no complete model.
    */
   #hasUsableWeights(
-    standing: BackendStanding,
+    standing: BackendAnnouncement,
     model: string,
     version: number | undefined,
   ): boolean {
@@ -245,22 +245,23 @@
     if (held === undefined) return false;
     if (version !== undefined) return held === version;
     const endsAt = this.#weightsExpireAt(model, held);
-    return monotonicMilliseconds() < endsAt - weightsMargins.beginMilliseconds;
+    return monotonicMilliseconds() <
+      endsAt - weightsMargins.requestStartMilliseconds;
   }
 
   /**
    * Until when a request may begin on the engine's weights, monotonic
    * milliseconds; Infinity while no later version is named.
    */
-  weightsUsableUntil(standing: BackendStanding, model: string): number {
+  weightsUsableUntil(standing: BackendAnnouncement, model: string): number {
     const held = this.#heldVersion(standing, model);
     return held === undefined ? Infinity : this.#weightsExpireAt(model, held);
   }
 
   #weightsExpireAt(model: string, held: number): number {
     const { feed, weightsBoundMilliseconds } = this.#options;
-    return feed.namedVersions.overtakenAt(model, held) +
-      weightsBoundMilliseconds - weightsMargins.giveUpMilliseconds;
+    return feed.namedVersions.supersededAt(model, held) +
+      weightsBoundMilliseconds - weightsMargins.namingDelayMilliseconds;
   }
 
   /**
@@ -268,7 +269,10 @@
    * beside the engine about this start takes precedence: it comes sooner than
    * the backend server's next heartbeat.
    */
-  #heldVersion(standing: BackendStanding, model: string): number | undefined {
+  #heldVersion(
+    standing: BackendAnnouncement,
+    model: string,
+  ): number | undefined {
     const notice = this.#options.feed.engineAt(standing.address);
     const isOfThisStart = notice !== undefined &&
       notice.engineBornAt === standing.bornAt;
--- a/packages/daemon/src/gateway/backend_pool_test.ts
+++ b/packages/daemon/src/gateway/backend_pool_test.ts
@@ -1,4 +1,4 @@
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import type { EngineLoad } from "@teaselrouter/messages/follow.ts";
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -8,7 +8,7 @@
 import type { ControlFeed } from "./control_feed.ts";
 import type { NamedLimits } from "./named_limits.ts";
 
-const STANDING: BackendStanding = {
+const STANDING: BackendAnnouncement = {
   instance: "one",
   service: "ledger",
   address: "10.0.0.1:80",
@@ -24,9 +24,9 @@
 const OTHER = { ...STANDING, instance: "two", address: "10.0.0.2:80" };
 
 function openPool(namedLimits = { isLimited: () => false } as object) {
-  const backends$ = new Subject<BackendStanding[]>();
+  const backends$ = new Subject<BackendAnnouncement[]>();
   const loads$ = new Subject<EngineLoad[]>();
-  const endedServers$ = new Subject<BackendStanding>();
+  const endedServers$ = new Subject<BackendAnnouncement>();
   const pool = new BackendPool({
     feed: {
       backends$,
@@ -45,7 +45,7 @@
 }
 
 function isEjected(pool: BackendPool): boolean {
-  return pool.recordOf(STANDING.instance).isAside(monotonicMilliseconds());
+  return pool.recordOf(STANDING.instance).isEjected(monotonicMilliseconds());
 }
 
 // Guards against sending more requests to a backend server that is known to
@@ -70,8 +70,8 @@
 // told when to retry.
 test("with the only healthy one at its limit, an ejected one is not tried", () => {
   const { pool, endedServers$ } = openPool({
-    isLimited: ({ instance }: BackendStanding) => instance === "one",
-    hasCapacity: ({ instance }: BackendStanding) => instance !== "one",
+    isLimited: ({ instance }: BackendAnnouncement) => instance === "one",
+    hasCapacity: ({ instance }: BackendAnnouncement) => instance !== "one",
     millisecondsUntilCapacity: () => 400,
   });
   endedServers$.next(OTHER);
--- a/packages/daemon/src/gateway/call_ending.ts
+++ b/packages/daemon/src/gateway/call_ending.ts
@@ -59,7 +59,7 @@
       refuseCall(response, refusal, { closes: isStopping() });
       if (!request.complete) request.resume();
     }
-    const isNotRun = format.promisesNotRun(status) || status < 500;
+    const isNotRun = format.guaranteesNotRun(status) || status < 500;
     const outcome = isNotRun ? "not-run" : "unknown";
     this.finish(ended, { status, reason, outcome });
   }
@@ -91,8 +91,8 @@
       instances: ended && [...ended.sender.tried].join(","),
       placement: ended?.routing.placement?.kind,
       expected_milliseconds: forecast && Math.round(forecast.milliseconds),
-      expected_slot: forecast && Math.round(forecast.slotMilliseconds),
-      expected_reading: forecast && Math.round(forecast.readingMilliseconds),
+      expected_slot: forecast && Math.round(forecast.slotWaitMilliseconds),
+      expected_reading: forecast && Math.round(forecast.prefillMilliseconds),
       requests_there: forecast && Math.round(forecast.requests),
       first_event_milliseconds: firstEvent && Math.round(firstEvent),
       spent_before: call && Math.round(call.spentBeforeMilliseconds),
@@ -116,5 +116,5 @@
   const { firstEventAt } = forwarder;
   const { placement } = routing;
   if (firstEventAt === undefined || placement?.forecast === undefined) return;
-  return firstEventAt - placement.placedAt;
+  return firstEventAt - placement.decidedAt;
 }
--- a/packages/daemon/src/gateway/call_routing.ts
+++ b/packages/daemon/src/gateway/call_routing.ts
@@ -1,4 +1,4 @@
-import type { BackendChoice } from "@teaselrouter/core/gateway/backend_choice.ts";
+import type { BackendCandidate } from "@teaselrouter/core/gateway/backend_candidate.ts";
 import { decidePlacement } from "@teaselrouter/core/gateway/decide_placement.ts";
 import type { Placement } from "@teaselrouter/core/gateway/placement.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
@@ -36,7 +36,7 @@
    * Chooses the backend server for an attempt that is sent now; undefined if
    * none is eligible.
    */
-  choose(): BackendChoice | undefined {
+  choose(): BackendCandidate | undefined {
     return this.#options.context.pool.choose(
       this.#query({ willSend: true }),
     );
@@ -56,8 +56,8 @@
       willSend,
       service: call.service.name,
       engine: call.service.engine,
-      model: call.facts.model,
-      promptTokens: call.facts.promptTokens,
+      model: call.metadata.model,
+      promptTokens: call.metadata.promptTokens,
       tried,
       weightsVersion: this.weightsVersion,
     };
@@ -68,25 +68,25 @@
    * and records the result. Always "timely" for services without an engine, and
    * for an answer that has begun: its client is waiting for the rest.
    */
-  place(choice: BackendChoice): Placement {
+  place(candidate: BackendCandidate): Placement {
     const { context, call, forwarder, tried } = this.#options;
     const { engine, name } = call.service;
     const now = monotonicMilliseconds();
     if (engine === undefined || forwarder.hasBegun) {
-      this.placement = { kind: "timely", forecast: undefined, placedAt: now };
+      this.placement = { kind: "timely", forecast: undefined, decidedAt: now };
       return this.placement;
     }
     const pressure = context.pool.pressureOf(name);
-    const placement = decidePlacement(choice, {
+    const placement = decidePlacement(candidate, {
       engine,
-      promptTokens: call.facts.promptTokens,
+      promptTokens: call.metadata.promptTokens,
       targetLeftMilliseconds: call.lateAt - now,
       slotPressure: pressure.share,
       now,
     });
     if (call.spentBeforeMilliseconds === 0) {
-      const isFull = placement.forecast!.requests >= choice.standing.slots;
-      pressure.note(isFull);
+      const isFull = placement.forecast!.requests >= candidate.standing.slots;
+      pressure.recordRequest(isFull);
     }
     // After a failed attempt the request may have run: a refusal could not
     // promise the client that it has not, and would lose an answer that the
@@ -116,7 +116,7 @@
   trySpendRetry(): boolean {
     const { context, call } = this.#options;
     return this.#hasAttemptsLeft && context.crashes.mayRetry(call) &&
-      context.retries.trySpend();
+      context.retries.trySpendRetry();
   }
 
   /** Whether another backend server can take over if this one fails. */
--- a/packages/daemon/src/gateway/call_routing_test.ts
+++ b/packages/daemon/src/gateway/call_routing_test.ts
@@ -1,4 +1,4 @@
-import type { BackendChoice } from "@teaselrouter/core/gateway/backend_choice.ts";
+import type { BackendCandidate } from "@teaselrouter/core/gateway/backend_candidate.ts";
 import { BackendRecord } from "@teaselrouter/core/gateway/backend_record.ts";
 import type { EngineDefinition } from "@teaselrouter/core/gateway/engine_definition.ts";
 import { SlotPressure } from "@teaselrouter/core/gateway/slot_pressure.ts";
@@ -28,21 +28,21 @@
 function place(tried: string[]): string {
   const record = new BackendRecord();
   record.inFlight = SLOTS + 9;
-  const choice = { record, standing: { slots: SLOTS } } as BackendChoice;
+  const candidate = { record, standing: { slots: SLOTS } } as BackendCandidate;
   const routing = new CallRouting({
     context: {
       pool: { pressureOf: () => new SlotPressure() },
     } as unknown as GatewayContext,
     call: {
       service: { name: "s", engine: ENGINE },
-      facts: { promptTokens: 900 },
+      metadata: { promptTokens: 900 },
       lateAt: 0,
       spentBeforeMilliseconds: 0,
     } as AdmittedCall,
     forwarder: { hasBegun: false } as AnswerForwarder,
     tried: new Set(tried),
   });
-  return routing.place(choice).kind;
+  return routing.place(candidate).kind;
 }
 
 // A data centre is cut off while an engine there works on a stream. The gateway
--- a/packages/daemon/src/gateway/call_sender.ts
+++ b/packages/daemon/src/gateway/call_sender.ts
@@ -1,4 +1,4 @@
-import type { BackendChoice } from "@teaselrouter/core/gateway/backend_choice.ts";
+import type { BackendCandidate } from "@teaselrouter/core/gateway/backend_candidate.ts";
 import type { BackendRecord } from "@teaselrouter/core/gateway/backend_record.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { Placement } from "@teaselrouter/core/gateway/placement.ts";
@@ -61,32 +61,32 @@
   }
 
   /**
-   * Sends the request to `choice` and keeps that backend server's record. An
+   * Sends the request to `candidate` and keeps that backend server's record. An
    * answer stays counted as in flight: the caller takes it off at its end.
    * Never rejects.
    */
   async send(
-    choice: BackendChoice,
+    candidate: BackendCandidate,
     options: SendOptions,
   ): Promise<AttemptOutcome> {
-    const { standing, record } = choice;
-    const { promptTokens } = this.#call.facts;
+    const { standing, record } = candidate;
+    const { promptTokens } = this.#call.metadata;
     const sentAt = monotonicMilliseconds();
     this.sentAt = sentAt;
     this.tried.add(standing.instance);
     this.#context.namedLimits.countSend(standing);
-    record.noteSend(sentAt);
+    record.recordSend(sentAt);
     record.inFlight += 1;
     const timelyCount = options.placement.kind === "timely" ? 1 : 0;
-    record.unreadTokens += promptTokens;
-    record.timelyUnread += timelyCount;
-    const attempt = this.#openAttempt(choice, options);
+    record.pendingPromptTokens += promptTokens;
+    record.timelyUnanswered += timelyCount;
+    const attempt = this.#openAttempt(candidate, options);
     this.#attempt = attempt;
-    const cancelWeightsTimer = this.#abortWhenWeightsExpire(choice, attempt);
+    const cancelWeightsTimer = this.#abortWhenWeightsExpire(candidate, attempt);
     const outcome = await attempt.outcome;
     cancelWeightsTimer();
-    record.unreadTokens -= promptTokens;
-    record.timelyUnread -= timelyCount;
+    record.pendingPromptTokens -= promptTokens;
+    record.timelyUnanswered -= timelyCount;
     if (outcome.kind === "answer") this.#trackLiveness(record, outcome, sentAt);
     else record.inFlight -= 1;
     return outcome;
@@ -94,7 +94,7 @@
 
   /** Counts a failure that was not this host's own doing. */
   noteFailure(
-    { standing, record }: BackendChoice,
+    { standing, record }: BackendCandidate,
     outcome: Exclude<AttemptOutcome, { kind: "answer" }>,
   ): void {
     const { log } = this.#context;
@@ -108,8 +108,8 @@
     const now = monotonicMilliseconds();
     const isUnreachable = outcome.kind === "not-run" && outcome.isUnreachable;
     const isEjected = isUnreachable
-      ? record.leaveAside(now)
-      : outcome.kind === "broken" && record.countFailure(now);
+      ? record.eject(now)
+      : outcome.kind === "broken" && record.recordFailure(now);
     if (!isEjected) return;
     log.warn("backend-server-aside", {
       instance: standing.instance,
@@ -128,13 +128,16 @@
     sentAt: number,
   ): void {
     const now = monotonicMilliseconds();
-    record.noteHead(now - sentAt);
-    record.noteHeard(now);
-    message.on("data", () => record.noteHeard(monotonicMilliseconds()));
+    record.recordResponseTime(now - sentAt);
+    record.recordDataReceived(now);
+    message.on(
+      "data",
+      () => record.recordDataReceived(monotonicMilliseconds()),
+    );
   }
 
   #openAttempt(
-    { standing }: BackendChoice,
+    { standing }: BackendCandidate,
     { weightsVersion, resumesAfter, placement }: SendOptions,
   ): BackendAttempt {
     const { connections, format, namedLimits } = this.#context;
@@ -148,8 +151,8 @@
       body: call.body,
       id: call.id,
       format,
-      onFacts: (facts) => namedLimits.noteAnswer(standing, facts),
-      headers: format.forwardHeaders(call.rawHeaders, {
+      onMetadata: (metadata) => namedLimits.noteAnswer(standing, metadata),
+      headers: format.buildForwardHeaders(call.rawHeaders, {
         weightsVersion,
         resumesAfter,
         deadlineMilliseconds: Math.max(1, left),
@@ -168,10 +171,10 @@
    * Returns a function that stops the timer.
    */
   #abortWhenWeightsExpire(
-    { standing }: BackendChoice,
+    { standing }: BackendCandidate,
     attempt: BackendAttempt,
   ): () => void {
-    const { model } = this.#call.facts;
+    const { model } = this.#call.metadata;
     if (model === undefined) return () => {};
     const until = this.#context.pool.weightsUsableUntil(standing, model);
     if (until === Infinity) return () => {};
--- a/packages/daemon/src/gateway/control_feed.ts
+++ b/packages/daemon/src/gateway/control_feed.ts
@@ -1,7 +1,7 @@
 import { RouteTable } from "@teaselrouter/core/gateway/route_table.ts";
 import { BackendRegistry } from "@teaselrouter/core/membership/backend_registry.ts";
 import { NamedVersions } from "@teaselrouter/core/rollout/named_versions.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import type {
   ControlUpdate,
   CrashNews,
@@ -21,9 +21,9 @@
 const FORGET_MILLISECONDS = 60_000;
 
 type BackendLookup = {
-  live: readonly BackendStanding[];
-  byService: Map<string, BackendStanding[]>;
-  byAddress: Map<string, BackendStanding>;
+  live: readonly BackendAnnouncement[];
+  byService: Map<string, BackendAnnouncement[]>;
+  byAddress: Map<string, BackendAnnouncement>;
 };
 
 type Options = {
@@ -34,7 +34,7 @@
 
 /** State that the gateway has received from the control hosts. */
 export class ControlFeed {
-  readonly backends$ = new Subject<BackendStanding[]>();
+  readonly backends$ = new Subject<BackendAnnouncement[]>();
   /** Load of the engines, as read by the agents beside them. */
   readonly loads$ = new Subject<EngineLoad[]>();
   /** Requests that crash the backend servers that run them. */
@@ -50,8 +50,8 @@
   #registry = new BackendRegistry({
     // Control hosts report which backend servers are gone. A gateway cut off
     // from them goes on with those last known.
-    silentMilliseconds: Infinity,
-    forgetMilliseconds: FORGET_MILLISECONDS,
+    silenceTimeoutMilliseconds: Infinity,
+    goneRetentionMilliseconds: FORGET_MILLISECONDS,
   });
   #lookup: BackendLookup | undefined;
   #engines = new Map<string, EngineNotice>();
@@ -87,11 +87,11 @@
     return this.#table !== undefined && this.#hasBackends;
   }
 
-  backendsOf(service: string): readonly BackendStanding[] {
+  backendsOf(service: string): readonly BackendAnnouncement[] {
     return this.#currentLookup().byService.get(service) ?? [];
   }
 
-  backendAt(address: string): BackendStanding | undefined {
+  backendAt(address: string): BackendAnnouncement | undefined {
     return this.#currentLookup().byAddress.get(address);
   }
 
@@ -155,10 +155,10 @@
     log.info("routing-in-force", { version, before: currentVersion });
   }
 
-  #applyBackends(standings: BackendStanding[]): void {
+  #applyBackends(standings: BackendAnnouncement[]): void {
     const now = monotonicMilliseconds();
     const changed = standings.flatMap((standing) =>
-      this.#registry.take(standing, now)
+      this.#registry.merge(standing, now)
     );
     if (changed.length === 0) return;
     for (const { instance, address, state, sequence } of changed) {
@@ -205,9 +205,9 @@
     left.engineBornAt === right.engineBornAt;
 }
 
-function indexBackends(live: readonly BackendStanding[]): BackendLookup {
-  const byService = new Map<string, BackendStanding[]>();
-  const byAddress = new Map<string, BackendStanding>();
+function indexBackends(live: readonly BackendAnnouncement[]): BackendLookup {
+  const byService = new Map<string, BackendAnnouncement[]>();
+  const byAddress = new Map<string, BackendAnnouncement>();
   for (const standing of live) {
     byAddress.set(standing.address, standing);
     const same = byService.get(standing.service);
--- a/packages/daemon/src/gateway/crash_reporter.ts
+++ b/packages/daemon/src/gateway/crash_reporter.ts
@@ -2,13 +2,13 @@
 import type { Blame } from "@teaselrouter/core/crashes/blame.ts";
 import { CrashLedger } from "@teaselrouter/core/crashes/crash_ledger.ts";
 import type { CrashReport } from "@teaselrouter/core/crashes/crash_report.ts";
-import { NewsBudget } from "@teaselrouter/core/news/news_budget.ts";
+import { NewsRateLimiter } from "@teaselrouter/core/news/news_rate_limiter.ts";
 import {
   type CrashNews,
   CrashNewsSchema,
 } from "@teaselrouter/messages/follow.ts";
 import type { Observable } from "rxjs";
-import { blameFields } from "../log/blame_fields.ts";
+import { toBlameFields } from "../log/to_blame_fields.ts";
 import type { EventLog } from "../log/event_log.ts";
 import { decodeBlame } from "../transport/decode_blame.ts";
 import { encodeBlame } from "../transport/encode_blame.ts";
@@ -51,7 +51,7 @@
   #ledger = new CrashLedger({ settleMilliseconds: SETTLE_MILLISECONDS });
   #inFlight = new Set<InFlightCall>();
   #reports: CrashReport[] = [];
-  #budget = new NewsBudget(MAX_REPORTS_PER_SECOND);
+  #rateLimiter = new NewsRateLimiter(MAX_REPORTS_PER_SECOND);
   #gatherTimer: NodeJS.Timeout | undefined;
   #decideTimer: NodeJS.Timeout | undefined;
 
@@ -73,13 +73,13 @@
   checkBlame(call: AdmittedCall): Blame | undefined {
     if (!this.#ledger.hasBlamed) return undefined;
     const now = monotonicMilliseconds();
-    return this.#ledger.refusal(fingerprintCall(call), now);
+    return this.#ledger.checkBlame(fingerprintCall(call), now);
   }
 
   /** Whether this host may retry the request on its own. */
   mayRetry(call: AdmittedCall): boolean {
     return this.#ledger.suspectCount === 0 ||
-      this.#ledger.maySendAgain(fingerprintCall(call));
+      this.#ledger.mayRetry(fingerprintCall(call));
   }
 
   /** @returns a function that ends the watch. */
@@ -100,7 +100,7 @@
    * that may know nothing; undefined for none.
    */
   blameSnapshot(): CrashNews | undefined {
-    const blames = this.#ledger.blames().slice(-MAX_SNAPSHOT_BLAMES);
+    const blames = this.#ledger.listBlames().slice(-MAX_SNAPSHOT_BLAMES);
     return blames.length === 0 ? undefined : this.#encodeBlames(blames);
   }
 
@@ -113,7 +113,7 @@
     const incarnation = `${standing.instance}@${standing.bornAt}`;
     for (const { fingerprint, begunMilliseconds } of interrupted) {
       const report = { fingerprint, incarnation, begunMilliseconds };
-      if (this.#ledger.report(report, now)) this.#reports.push(report);
+      if (this.#ledger.recordReport(report, now)) this.#reports.push(report);
     }
     this.#scheduleDecision();
     this.#gatherTimer ??= setTimeout(
@@ -133,7 +133,7 @@
       .sort((left, right) =>
         this.#reportPriority(right) - this.#reportPriority(left)
       )
-      .slice(0, this.#budget.take(this.#reports.length, now));
+      .slice(0, this.#rateLimiter.take(this.#reports.length, now));
     const droppedCount = this.#reports.length - published.length;
     this.#reports = [];
     if (droppedCount > 0) {
@@ -148,18 +148,18 @@
     const soon = begunMilliseconds === undefined
       ? 0
       : 1 / (1 + begunMilliseconds);
-    return this.#ledger.weightOf(fingerprint) + soon;
+    return this.#ledger.evidenceWeightOf(fingerprint) + soon;
   }
 
   #scheduleDecision(): void {
     this.#decideTimer ??= setTimeout(() => {
       this.#decideTimer = undefined;
-      const blames = this.#ledger.decide(monotonicMilliseconds());
+      const blames = this.#ledger.blameSuspects(monotonicMilliseconds());
       if (blames.length > 0) {
         this.#applyBlames(blames, "decided");
         this.#options.publish(this.#encodeBlames(blames));
       }
-      if (this.#ledger.isUndecided) this.#scheduleDecision();
+      if (this.#ledger.hasPendingSuspects) this.#scheduleDecision();
     }, SETTLE_MILLISECONDS);
   }
 
@@ -168,14 +168,14 @@
     for (const fingerprint of cleared) this.#ledger.clear(fingerprint);
     const learnt = blamed
       .map((request) => decodeBlame(request, now))
-      .filter((blame) => this.#ledger.learn(blame));
+      .filter((blame) => this.#ledger.mergeBlame(blame));
     if (learnt.length > 0) this.#applyBlames(learnt, "told");
   }
 
   #applyBlames(blames: Blame[], how: "decided" | "told"): void {
     const now = monotonicMilliseconds();
     for (const blame of blames) {
-      const fields = { ...blameFields(blame, now), how };
+      const fields = { ...toBlameFields(blame, now), how };
       this.#options.log.warn("request-blamed", fields);
       this.#abortInFlight(blame);
     }
--- a/packages/daemon/src/gateway/crash_watch.ts
+++ b/packages/daemon/src/gateway/crash_watch.ts
@@ -1,7 +1,7 @@
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import { type Observable, Subject } from "rxjs";
 import type { EventLog } from "../log/event_log.ts";
-import { askWhetherEnded } from "../transport/ask_whether_ended.ts";
+import { probeProcessEnd } from "../transport/probe_process_end.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
 import type { EndedServer } from "./ended_server.ts";
@@ -15,7 +15,7 @@
 /** A request in flight whose connection a backend server closed. */
 type BrokenRequest = {
   call: AdmittedCall;
-  standing: BackendStanding;
+  standing: BackendAnnouncement;
   /**
    * When the request's answer began, monotonic milliseconds; undefined if it
    * had not.
@@ -27,7 +27,7 @@
 
 type Options = {
   hasOpenConnection: (address: string) => boolean;
-  backends$: Observable<BackendStanding[]>;
+  backends$: Observable<BackendAnnouncement[]>;
   log: EventLog;
 };
 
@@ -67,7 +67,7 @@
     const { instance, address } = suspected.standing;
     this.#gathering.delete(instance);
     if (this.#options.hasOpenConnection(address)) return;
-    const answer = await askWhetherEnded(address);
+    const answer = await probeProcessEnd(address);
     if (answer === "ended") return this.#confirmEnd(suspected, "refuses");
     if (answer === "unknown") this.#pending.set(instance, suspected);
   }
@@ -76,7 +76,7 @@
    * Confirms ends that could not be checked directly: a later start at the same
    * address shows them.
    */
-  #resolvePending(changed: BackendStanding[]): void {
+  #resolvePending(changed: BackendAnnouncement[]): void {
     if (this.#pending.size === 0) return;
     const now = monotonicMilliseconds();
     for (const [instance, suspected] of [...this.#pending]) {
--- a/packages/daemon/src/gateway/ended_server.ts
+++ b/packages/daemon/src/gateway/ended_server.ts
@@ -1,4 +1,4 @@
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
 
 /** A request that was in flight at a backend server when that one ended. */
@@ -17,6 +17,6 @@
  * that were in flight there.
  */
 export type EndedServer = {
-  standing: BackendStanding;
+  standing: BackendAnnouncement;
   interrupted: Interrupted[];
 };
--- a/packages/daemon/src/gateway/gateway_app.ts
+++ b/packages/daemon/src/gateway/gateway_app.ts
@@ -1,11 +1,11 @@
 import { SharedRetryBudget } from "@teaselrouter/core/gateway/shared_retry_budget.ts";
-import { UsualPatience } from "@teaselrouter/core/gateway/usual_patience.ts";
+import { PatienceEstimator } from "@teaselrouter/core/gateway/patience_estimator.ts";
 import { createServer, type Server } from "node:http";
 import { map } from "rxjs";
 import { Result } from "true-myth";
 import type { EventLog } from "../log/event_log.ts";
 import type { ProcessMetrics } from "../metrics/process_metrics.ts";
-import type { PlatformEdge } from "../platform/platform_edge.ts";
+import type { PlatformAdapter } from "../platform/platform_adapter.ts";
 import type { Settings } from "../settings/settings.ts";
 import type { ClientPool } from "../transport/client_pool.ts";
 import { FollowSet } from "../transport/follow_set.ts";
@@ -40,8 +40,8 @@
   settings: Settings;
   clients: ClientPool;
   log: EventLog;
-  counted: ProcessMetrics;
-  platform: PlatformEdge;
+  metrics: ProcessMetrics;
+  platform: PlatformAdapter;
 };
 
 /** Gateway role: sends a platform's requests directly to backend servers. */
@@ -56,7 +56,7 @@
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
-    const { settings, clients, log, counted: metrics, platform } = options;
+    const { settings, clients, log, metrics: metrics, platform } = options;
     this.#options = options;
     this.#followSet = new FollowSet({
       hello: {
@@ -66,10 +66,10 @@
       },
       selfAddress: "",
       seeds: settings.gateway!.control_hosts,
-      most: FOLLOWED_CONTROL_HOSTS,
+      maxLinks: FOLLOWED_CONTROL_HOSTS,
       clients,
       log,
-      standingNews: () => {
+      initialUpdate: () => {
         const value = this.#context.crashes.blameSnapshot();
         return value && { case: "crashes", value };
       },
@@ -95,7 +95,7 @@
       host: settings.name,
       backends$: feed.backends$,
       news$: feed.limits$,
-      publish: (value) => this.#followSet.tell({ case: "limits", value }),
+      publish: (value) => this.#followSet.broadcast({ case: "limits", value }),
       random: Math.random,
       log,
     });
@@ -114,15 +114,16 @@
       namedLimits,
       retries: new SharedRetryBudget({
         ratio: settings.gateway!.retry_ratio,
-        mostSaved: MAX_SAVED_RETRIES,
+        maxSavedRetries: MAX_SAVED_RETRIES,
       }),
-      patience: new UsualPatience(),
+      patience: new PatienceEstimator(),
       silence: new SilenceWatch(),
       crashWatch,
       crashes: new CrashReporter({
         ended$: crashWatch.ended$,
         news$: feed.crashes$,
-        publish: (value) => this.#followSet.tell({ case: "crashes", value }),
+        publish: (value) =>
+          this.#followSet.broadcast({ case: "crashes", value }),
         log,
       }),
       format: platform.requestFormat,
--- a/packages/daemon/src/gateway/gateway_call.ts
+++ b/packages/daemon/src/gateway/gateway_call.ts
@@ -1,5 +1,5 @@
 import type { Blame } from "@teaselrouter/core/crashes/blame.ts";
-import type { BackendChoice } from "@teaselrouter/core/gateway/backend_choice.ts";
+import type { BackendCandidate } from "@teaselrouter/core/gateway/backend_candidate.ts";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import { admitCall } from "./admit_call.ts";
@@ -104,8 +104,8 @@
     while (!this.#ending.isOver) {
       const blame = this.#context.crashes.checkBlame(active.call);
       if (blame !== undefined) return this.#refuseBlamed(active, blame);
-      const choice = routing.choose();
-      if (choice === undefined) {
+      const candidate = routing.choose();
+      if (candidate === undefined) {
         if (await this.#waitForBackends(active)) continue;
         return this.#refuseWithoutBackend(active, lastReason);
       }
@@ -113,18 +113,18 @@
         const reason = `${lastReason}; no further send is allowed`;
         return this.#ending.refuse(active, refusals.build(reason, "busy"));
       }
-      const placement = routing.place(choice);
+      const placement = routing.place(candidate);
       if (placement.kind === "refused") {
         const reason = "its backend servers have no room";
         return this.#ending.refuse(active, refusals.build(reason, "overload"));
       }
-      const stopWatching = this.#watchSilence(active, choice);
-      const outcome = await sender.send(choice, {
+      const stopWatching = this.#watchSilence(active, candidate);
+      const outcome = await sender.send(candidate, {
         placement,
         weightsVersion: routing.weightsVersion,
         resumesAfter: forwarder.lastEventId,
       });
-      const end = await this.#handleOutcome(active, choice, outcome);
+      const end = await this.#handleOutcome(active, candidate, outcome);
       stopWatching();
       if (end === "over") return;
       lastReason = end;
@@ -151,33 +151,33 @@
    */
   async #handleOutcome(
     active: ActiveCall,
-    choice: BackendChoice,
+    candidate: BackendCandidate,
     outcome: AttemptOutcome,
   ): Promise<string> {
     if (this.#ending.isOver) {
-      if (outcome.kind === "answer") choice.record.inFlight -= 1;
+      if (outcome.kind === "answer") candidate.record.inFlight -= 1;
       return "over";
     }
     if (outcome.kind === "answer") {
-      const end = await this.#handleAnswer(active, choice, outcome);
+      const end = await this.#handleAnswer(active, candidate, outcome);
       return end === "over" ? end : "the answer broke off";
     }
-    active.sender.noteFailure(choice, outcome);
+    active.sender.noteFailure(candidate, outcome);
     if (outcome.kind === "broken" && !outcome.isAborted) {
-      this.#noteBreak(active, choice, undefined);
+      this.#noteBreak(active, candidate, undefined);
     }
     return outcome.reason;
   }
 
   #watchSilence(
     { sender, routing }: ActiveCall,
-    { record }: BackendChoice,
+    { record }: BackendCandidate,
   ): () => void {
     return this.#context.silence.watch({
       isSilent: () => record.isSilent(monotonicMilliseconds()),
       canFailOver: () =>
         !this.#ending.isOver && routing.canFailOver() &&
-        this.#context.retries.mayBeSpent,
+        this.#context.retries.hasRetries,
       abort: () => sender.abort("its backend server has fallen silent"),
     });
   }
@@ -188,35 +188,35 @@
    */
   async #handleAnswer(
     active: ActiveCall,
-    { standing, record }: BackendChoice,
-    { message, facts }: Answer,
+    { standing, record }: BackendCandidate,
+    { message, metadata }: Answer,
   ): Promise<"over" | "again"> {
     const { sender, forwarder, routing } = active;
     const status = message.statusCode ?? 502;
     const now = monotonicMilliseconds();
-    if (facts.load !== undefined) record.takeReport(facts.load, now);
+    if (metadata.load !== undefined) record.recordReport(metadata.load, now);
     const isGood = status >= 200 && status < 300;
-    if (isGood && !facts.isSigned) {
+    if (isGood && !metadata.isSigned) {
       record.inFlight -= 1;
       sender.abort("a success without a signature");
       return "again";
     }
     if (status >= 500 && routing.canFailOver()) {
       record.inFlight -= 1;
-      record.countFailure(now);
+      record.recordFailure(now);
       message.resume();
       return "again";
     }
-    if (isGood) record.endTrial();
-    routing.weightsVersion ??= facts.weightsVersion;
+    if (isGood) record.endHalfOpen();
+    routing.weightsVersion ??= metadata.weightsVersion;
     const end = await forwarder.forward(message, () => sender.hasFailed);
     record.inFlight -= 1;
     if (this.#ending.isOver) return "over";
     if (end === "broken" || status >= 500) {
-      record.countFailure(monotonicMilliseconds());
+      record.recordFailure(monotonicMilliseconds());
     } else {
-      record.countSuccess();
-      record.noteHold(monotonicMilliseconds() - now);
+      record.recordSuccess();
+      record.recordSlotHoldTime(monotonicMilliseconds() - now);
     }
     if (end === "broken") {
       if (!sender.isAborted) this.#noteBreak(active, { standing, record }, now);
@@ -237,7 +237,7 @@
 
   #noteBreak(
     { call, sender }: ActiveCall,
-    { standing }: BackendChoice,
+    { standing }: BackendCandidate,
     headAt: number | undefined,
   ): void {
     // Only streams send their head when work on them begins. Other answers are
--- a/packages/daemon/src/gateway/gateway_context.ts
+++ b/packages/daemon/src/gateway/gateway_context.ts
@@ -1,5 +1,5 @@
 import type { SharedRetryBudget } from "@teaselrouter/core/gateway/shared_retry_budget.ts";
-import type { UsualPatience } from "@teaselrouter/core/gateway/usual_patience.ts";
+import type { PatienceEstimator } from "@teaselrouter/core/gateway/patience_estimator.ts";
 import type { EventLog } from "../log/event_log.ts";
 import type { ProcessMetrics } from "../metrics/process_metrics.ts";
 import type { RequestFormat } from "../platform/request_format.ts";
@@ -20,7 +20,7 @@
   connections: BackendConnections;
   namedLimits: NamedLimits;
   retries: SharedRetryBudget;
-  patience: UsualPatience;
+  patience: PatienceEstimator;
   silence: SilenceWatch;
   crashWatch: CrashWatch;
   crashes: CrashReporter;
--- a/packages/daemon/src/gateway/named_limits.ts
+++ b/packages/daemon/src/gateway/named_limits.ts
@@ -1,9 +1,9 @@
 import { create } from "@bufbuild/protobuf";
-import type { AnswerFacts } from "@teaselrouter/core/gateway/answer_facts.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
-import { LimitPart } from "@teaselrouter/core/named_limits/limit_part.ts";
+import type { AnswerMetadata } from "@teaselrouter/core/gateway/answer_metadata.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
+import { LimitPartBucket } from "@teaselrouter/core/named_limits/limit_part_bucket.ts";
 import type { NamedLimit } from "@teaselrouter/core/named_limits/named_limit.ts";
-import { DueNews } from "@teaselrouter/core/news/due_news.ts";
+import { DueNewsSelector } from "@teaselrouter/core/news/due_news_selector.ts";
 import {
   type LimitNews,
   LimitNewsSchema,
@@ -31,11 +31,11 @@
  */
 const FORGET_MILLISECONDS = 60_000;
 
-type TrackedLimit = { limit: NamedLimit; part: LimitPart | undefined };
+type TrackedLimit = { limit: NamedLimit; part: LimitPartBucket | undefined };
 
 type Options = {
   host: string;
-  backends$: Observable<BackendStanding[]>;
+  backends$: Observable<BackendAnnouncement[]>;
   news$: Observable<LimitNews>;
   publish: (news: LimitNews) => void;
   log: EventLog;
@@ -50,9 +50,9 @@
   #options: Options;
   /** By incarnation: one start of one backend server. */
   #tracked = new Map<string, TrackedLimit>();
-  #due = new DueNews({
-    restMilliseconds: REFRESH_MILLISECONDS,
-    mostPerSecond: MAX_DEMANDS_PER_SECOND,
+  #due = new DueNewsSelector({
+    refreshMilliseconds: REFRESH_MILLISECONDS,
+    maxPerSecond: MAX_DEMANDS_PER_SECOND,
   });
   #timer: NodeJS.Timeout | undefined;
 
@@ -72,17 +72,17 @@
    * Records the limit that an answer names. A signed answer without one ends
    * the known limit.
    */
-  noteAnswer(standing: BackendStanding, facts: AnswerFacts): void {
-    const { limitPerSecond: perSecond, isSigned } = facts;
+  noteAnswer(standing: BackendAnnouncement, metadata: AnswerMetadata): void {
+    const { limitPerSecond: perSecond, isSigned } = metadata;
     const incarnation = incarnationOf(standing);
     const namesLimit = perSecond !== undefined;
     if (!namesLimit && !(isSigned && this.#tracked.has(incarnation))) return;
-    const saidAt = monotonicMilliseconds();
-    this.#record({ incarnation, perSecond, saidAt }, "heard");
+    const announcedAt = monotonicMilliseconds();
+    this.#record({ incarnation, perSecond, announcedAt }, "heard");
   }
 
   /** Whether the backend server has a limit now. */
-  isLimited(standing: BackendStanding): boolean {
+  isLimited(standing: BackendAnnouncement): boolean {
     return this.#partOf(standing) !== undefined;
   }
 
@@ -90,29 +90,31 @@
    * Whether a request may be sent to the backend server that is best for it.
    * Counts the request as wanted there.
    */
-  requestAdmission(standing: BackendStanding): boolean {
+  requestAdmission(standing: BackendAnnouncement): boolean {
     const part = this.#partOf(standing);
     if (part === undefined) return true;
     const now = monotonicMilliseconds();
-    part.want(now);
-    return part.admits(now);
+    part.recordDemand(now);
+    return part.admit(now);
   }
 
   /** Whether the limit leaves room for a request now; counts nothing. */
-  hasCapacity(standing: BackendStanding): boolean {
+  hasCapacity(standing: BackendAnnouncement): boolean {
     return this.#partOf(standing)?.hasRoom(monotonicMilliseconds()) ?? true;
   }
 
   /** Counts a request that is sent to the backend server. */
-  countSend(standing: BackendStanding): void {
+  countSend(standing: BackendAnnouncement): void {
     this.#partOf(standing)?.take(monotonicMilliseconds());
   }
 
   /**
    * Milliseconds until the limit leaves room for a request; 0 without a limit.
    */
-  millisecondsUntilCapacity(standing: BackendStanding): number {
-    return this.#partOf(standing)?.untilRoom(monotonicMilliseconds()) ?? 0;
+  millisecondsUntilCapacity(standing: BackendAnnouncement): number {
+    return this.#partOf(standing)?.millisecondsUntilCapacity(
+      monotonicMilliseconds(),
+    ) ?? 0;
   }
 
   /**
@@ -121,26 +123,26 @@
    */
   logPassedOver(
     id: string,
-    standing: BackendStanding,
-    to: BackendStanding | undefined,
+    standing: BackendAnnouncement,
+    to: BackendAnnouncement | undefined,
   ): void {
     const part = this.#partOf(standing);
     if (part === undefined) return;
     const now = monotonicMilliseconds();
-    const { toldAt } = part;
+    const { assignedAt } = part;
     this.#options.log.info("limited-server-passed-over", {
       id,
       instance: standing.instance,
       per_second: part.perSecond,
       part: part.part(now).toFixed(3),
-      told_milliseconds_ago: toldAt === undefined
+      told_milliseconds_ago: assignedAt === undefined
         ? "never"
-        : Math.round(now - toldAt),
+        : Math.round(now - assignedAt),
       to: to?.instance ?? "none",
     });
   }
 
-  #partOf(standing: BackendStanding): LimitPart | undefined {
+  #partOf(standing: BackendAnnouncement): LimitPartBucket | undefined {
     if (this.#tracked.size === 0) return undefined;
     return this.#tracked.get(incarnationOf(standing))?.part;
   }
@@ -151,7 +153,7 @@
       const limit = decodeLimit(told, now);
       const isKnown = this.#tracked.has(limit.incarnation);
       if (limit.perSecond !== undefined || isKnown) this.#record(limit, "told");
-      this.#tracked.get(limit.incarnation)?.part?.tell(told.part, now);
+      this.#tracked.get(limit.incarnation)?.part?.assignPart(told.part, now);
     }
   }
 
@@ -159,12 +161,12 @@
    * Records what a backend server said of its limit, if nothing later is known.
    */
   #record(limit: NamedLimit, how: "heard" | "told"): void {
-    const { incarnation, perSecond, saidAt } = limit;
+    const { incarnation, perSecond, announcedAt } = limit;
     const known = this.#tracked.get(incarnation);
-    if (known !== undefined && known.limit.saidAt >= saidAt) return;
+    if (known !== undefined && known.limit.announcedAt >= announcedAt) return;
     const isChange = known?.limit.perSecond !== perSecond;
     const part = perSecond === undefined ? undefined : known?.part ??
-      new LimitPart(
+      new LimitPartBucket(
         perSecond,
         monotonicMilliseconds(),
         this.#options.random,
@@ -192,7 +194,7 @@
     const now = monotonicMilliseconds();
     for (const [incarnation, { limit, part }] of [...this.#tracked]) {
       const isOver = part === undefined &&
-        now - limit.saidAt > FORGET_MILLISECONDS;
+        now - limit.announcedAt > FORGET_MILLISECONDS;
       if (isOver) this.#tracked.delete(incarnation);
     }
     if (this.#tracked.size === 0) {
@@ -202,7 +204,7 @@
     }
     const wanted = [...this.#tracked]
       .filter(([, { limit, part }]) =>
-        part !== undefined || now - limit.saidAt < END_NOTICE_MILLISECONDS
+        part !== undefined || now - limit.announcedAt < END_NOTICE_MILLISECONDS
       )
       .map(([incarnation, { limit, part }]) => ({
         key: `${incarnation} ${limit.perSecond ?? "any"}`,
@@ -220,7 +222,7 @@
   }
 
   /** Drops the limits of incarnations that have ended. */
-  #dropEndedIncarnations(changed: BackendStanding[]): void {
+  #dropEndedIncarnations(changed: BackendAnnouncement[]): void {
     if (this.#tracked.size === 0) return;
     for (const standing of changed) {
       const live = incarnationOf(standing);
@@ -233,6 +235,6 @@
   }
 }
 
-function incarnationOf({ instance, bornAt }: BackendStanding): string {
+function incarnationOf({ instance, bornAt }: BackendAnnouncement): string {
   return `${instance}@${bornAt}`;
 }
--- a/packages/daemon/src/gateway/refusal_builder.ts
+++ b/packages/daemon/src/gateway/refusal_builder.ts
@@ -1,6 +1,6 @@
 import type { Blame } from "@teaselrouter/core/crashes/blame.ts";
 import { retryAfter } from "@teaselrouter/core/gateway/retry_after.ts";
-import { blameFields } from "../log/blame_fields.ts";
+import { toBlameFields } from "../log/to_blame_fields.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
 import type { CallRefusal } from "./call_refusal.ts";
@@ -47,7 +47,7 @@
     const now = monotonicMilliseconds();
     this.#context.log.info("blamed-request-refused", {
       id: this.#call.id,
-      ...blameFields(blame, now),
+      ...toBlameFields(blame, now),
       outcome: this.mayHaveRun ? "unknown" : "not-run",
     });
     const reason = `${blame.crashes} backend servers ended under it`;
--- a/packages/daemon/src/gateway/stream_relay.ts
+++ b/packages/daemon/src/gateway/stream_relay.ts
@@ -52,7 +52,7 @@
       message.resume();
       message.once("end", () => {
         const whole = message.complete;
-        if (whole) this.#write(message, this.#splitter.rest);
+        if (whole) this.#write(message, this.#splitter.incompleteBytes);
         resolve(whole ? "complete" : "broken");
       });
       message.once("close", () => resolve("broken"));
@@ -62,7 +62,7 @@
 
   #forwardBytes(message: IncomingMessage, bytes: Buffer): void {
     if (!this.#options.wholeEvents) return this.#write(message, bytes);
-    const whole = this.#splitter.take(bytes);
+    const whole = this.#splitter.push(bytes);
     this.lastEventId = whole.lastId ?? this.lastEventId;
     this.#write(message, whole.bytes);
   }
--- a/packages/daemon/src/http/problem.ts
+++ b/packages/daemon/src/http/problem.ts
@@ -14,6 +14,6 @@
    * Whether `outcome` comes from the replicated log, so that it holds whatever
    * other entry hosts did.
    */
-  consultedLog?: boolean;
+  isOutcomeFromLog?: boolean;
   retryAfterMilliseconds?: number;
 };
--- a/packages/daemon/src/log/event_log.ts
+++ b/packages/daemon/src/log/event_log.ts
@@ -19,7 +19,7 @@
  * standard output and, except for debug events, an entry in the timeline.
  */
 export class EventLog {
-  readonly ring: TimelineRing;
+  readonly timeline: TimelineRing;
   #sink: LineSink;
   #countEvent: (event: EventName) => void;
   #logger: Logger<unknown>;
@@ -33,7 +33,7 @@
   ) {
     this.#sink = sink;
     this.#countEvent = countEvent;
-    this.ring = new TimelineRing(processName, TIMELINE_CAPACITY);
+    this.timeline = new TimelineRing(processName, TIMELINE_CAPACITY);
     this.#logger = new Logger({
       type: "hidden",
       minLevel: LEVELS[level],
@@ -86,6 +86,6 @@
 
   #record(event: EventName, fields: Fields): void {
     this.#countEvent(event);
-    this.ring.record(Date.now(), event, formatFields(fields));
+    this.timeline.record(Date.now(), event, formatFields(fields));
   }
 }
--- a/packages/daemon/src/log/event_log_test.ts
+++ b/packages/daemon/src/log/event_log_test.ts
@@ -15,5 +15,5 @@
     lines[0]!,
     /^time=\S+ level=info process=van-1 event=weights-live version=drafter@1 reason="not \\"that\\""\n$/,
   );
-  assert.equal(log.ring.since(0)[0]!.kind, "weights-live");
+  assert.equal(log.timeline.eventsSince(0)[0]!.kind, "weights-live");
 });
--- a/packages/daemon/src/log/blame_fields.ts
+++ b/packages/daemon/src/log/to_blame_fields.ts
@@ -1,7 +1,7 @@
 import type { Blame } from "@teaselrouter/core/crashes/blame.ts";
 
 /** Log fields that describe a blame; `now` is in monotonic milliseconds. */
-export function blameFields(blame: Blame, now: number) {
+export function toBlameFields(blame: Blame, now: number) {
   const { fingerprint, crashes, incarnations, endsAt } = blame;
   return {
     fingerprint,
--- a/packages/daemon/src/metrics/create_metrics.ts
+++ b/packages/daemon/src/metrics/create_statsd_client.ts
@@ -5,7 +5,7 @@
  * Creates the StatsD client for the process's metrics. Without a StatsD server
  * in the settings it sends nothing.
  */
-export function createMetrics(settings: Settings): StatsD {
+export function createStatsdClient(settings: Settings): StatsD {
   const tags = { process: settings.name, data_centre: settings.data_centre };
   if (settings.metrics?.statsd === undefined) {
     return new StatsD({ mock: true, globalTags: tags, maxBufferSize: 0 });
--- a/packages/daemon/src/metrics/process_metrics.ts
+++ b/packages/daemon/src/metrics/process_metrics.ts
@@ -48,7 +48,7 @@
   readonly requests: Counter<RequestLabel>;
   readonly requestMilliseconds: Histogram<"kind">;
   /** From the head of a request until the head of its answer is forwarded. */
-  readonly headMilliseconds: Histogram<"kind">;
+  readonly answerHeadMilliseconds: Histogram<"kind">;
   /** Time of a stream's first event minus its expected time. */
   readonly forecastErrorMilliseconds: Histogram<"placement">;
 
@@ -73,7 +73,7 @@
       buckets: MILLISECOND_BUCKETS,
       registers,
     });
-    this.headMilliseconds = new Histogram({
+    this.answerHeadMilliseconds = new Histogram({
       name: "teaselrouter_answer_head_milliseconds",
       help: "From the head of a request to the head of its answer",
       labelNames: ["kind"],
--- a/packages/daemon/src/platform/model_engine.ts
+++ b/packages/daemon/src/platform/model_engine.ts
@@ -6,9 +6,9 @@
 
 /** The model engine on this host, which loads weights from its staging area. */
 export interface ModelEngine {
-  report(): Promise<Result<EngineReport, string>>;
+  fetchReport(): Promise<Result<EngineReport, string>>;
   /** Numbers of the staged chunks, of whatever version they are. */
-  stagedChunks(model: string): Promise<Result<number[], string>>;
+  listStagedChunks(model: string): Promise<Result<number[], string>>;
   readStaged(model: string, chunk: number): Promise<Result<Buffer, string>>;
   writeStaged(
     model: string,
--- a/packages/daemon/src/platform/platform_edge.ts
+++ b/packages/daemon/src/platform/platform_adapter.ts
@@ -11,13 +11,13 @@
  * Adapter for a platform: its names, formats and calls. It makes no decisions;
  * the code that uses it does.
  */
-export interface PlatformEdge {
+export interface PlatformAdapter {
   decodeRouting: RoutingDecoder;
   requestFormat: RequestFormat;
   /** Path of the load balancer's readiness check. */
   readyPath: string;
   weightStore: WeightStore;
-  storeFormat: WeightStoreFormat;
+  weightStoreFormat: WeightStoreFormat;
   /**
    * Returns a client for the model engine on this host, which takes requests at
    * `address`.
--- a/packages/daemon/src/platform/weight_store.ts
+++ b/packages/daemon/src/platform/weight_store.ts
@@ -10,5 +10,5 @@
     version: number,
   ): Promise<Result<WeightsManifest, string>>;
   /** Base URL for the chunks of the store at `address`. */
-  urlOf(address: string): string;
+  baseUrl(address: string): string;
 }
--- a/packages/daemon/src/platform/weight_store_format.ts
+++ b/packages/daemon/src/platform/weight_store_format.ts
@@ -2,7 +2,7 @@
 
 /** Builds the requests that fetch chunks from a weight store. */
 export interface WeightStoreFormat {
-  chunkRequest(
+  buildChunkRequest(
     store: string,
     manifest: WeightsManifest,
     chunk: number,
--- a/packages/daemon/src/rollout/manifest_keeper.ts
+++ b/packages/daemon/src/rollout/manifest_keeper.ts
@@ -20,7 +20,7 @@
 type Options = {
   store: WeightStore;
   log: EventLog;
-  namedVersion: (model: string) => number | undefined;
+  latestNamedVersion: (model: string) => number | undefined;
 };
 
 /**
@@ -51,7 +51,7 @@
    * Starts to fetch the manifests of versions that are not known yet. Called
    * when the configuration or a named version may have changed.
    */
-  review(configuration: RoutingConfiguration): void {
+  updateTargets(configuration: RoutingConfiguration): void {
     for (const wanted of this.#listWantedManifests(configuration)) {
       const key = `${wanted.model}@${wanted.version} ${wanted.address}`;
       const known = this.#targets.get(wanted.service);
@@ -71,7 +71,7 @@
     return services.flatMap(({ name: service, engine }) => {
       const model = engine?.models[0];
       if (model === undefined || engine?.weightChunks === 0) return [];
-      const version = this.#options.namedVersion(model) ?? FIRST_VERSION;
+      const version = this.#options.latestNamedVersion(model) ?? FIRST_VERSION;
       return [{ service, model, version, address }];
     });
   }
@@ -92,7 +92,7 @@
           model,
           version,
           manifest,
-          store: store.urlOf(address),
+          store: store.baseUrl(address),
         };
         this.#targets.set(service, target);
         log.info("weights-target", { service, model, version });
--- a/packages/daemon/src/rollout/rollout_hub.ts
+++ b/packages/daemon/src/rollout/rollout_hub.ts
@@ -1,9 +1,9 @@
 import type { ConnectRouter } from "@connectrpc/connect";
-import { LoadTurns } from "@teaselrouter/core/rollout/load_turns.ts";
+import { LoadPermits } from "@teaselrouter/core/rollout/load_permits.ts";
 import { defaultSpreadOptions } from "@teaselrouter/core/spread/default_spread_options.ts";
 import { RarestRanking } from "@teaselrouter/core/spread/rarest_ranking.ts";
-import type { SpreadWeighing } from "@teaselrouter/core/spread/spread_weighing.ts";
-import { SwapPolicy } from "@teaselrouter/core/spread/swap_policy.ts";
+import type { SpreadObjective } from "@teaselrouter/core/spread/spread_objective.ts";
+import { PeerExchangePolicy } from "@teaselrouter/core/spread/peer_exchange_policy.ts";
 import { versionName } from "@teaselrouter/core/spread/version_name.ts";
 import type { ChunkReport } from "@teaselrouter/messages/agent.ts";
 import { AgentService } from "@teaselrouter/messages/agent.ts";
@@ -29,16 +29,16 @@
 type Options = {
   host: string;
   dataCentre: string;
-  weighing: SpreadWeighing;
+  objective: SpreadObjective;
   manifests: ManifestKeeper;
   log: EventLog;
   controlAddresses: () => string[];
-  notice: (notice: EngineNotice) => void;
-  noteLoad: (load: EngineLoad) => void;
+  publishNotice: (notice: EngineNotice) => void;
+  publishLoad: (load: EngineLoad) => void;
   namedAges: (model: string) => { version: number; ageMilliseconds: number }[];
 };
 
-type DataCentreState = { coordinator: SpreadCoordinator; permits: LoadTurns };
+type DataCentreState = { coordinator: SpreadCoordinator; permits: LoadPermits };
 
 /**
  * The control host's part in distributing weights to engines. Stagers choose
@@ -115,7 +115,7 @@
     this.#sessions.delete(name);
     for (const { coordinator, permits } of this.#states.values()) {
       coordinator.removeHost(name);
-      permits.end(name);
+      permits.release(name);
     }
     return true;
   }
@@ -124,7 +124,7 @@
     const { backendServer, dataCentre } = session.announcement!;
     for (const [name, { coordinator }] of this.#states) {
       const followsPlans = report.followsPlans && name === dataCentre;
-      coordinator.takeReport(backendServer, { ...report, followsPlans });
+      coordinator.recordReport(backendServer, { ...report, followsPlans });
     }
   }
 
@@ -145,16 +145,19 @@
       [...this.#sessions.values()].filter((other) =>
         other.announcement?.dataCentre === dataCentre
       ).length;
-    return this.#getOrCreateDataCentre(dataCentre).permits.take(backendServer, {
-      hosts,
-      wasServing,
-      now,
-    });
+    return this.#getOrCreateDataCentre(dataCentre).permits.tryAcquire(
+      backendServer,
+      {
+        hosts,
+        wasServing,
+        now,
+      },
+    );
   }
 
   releasePermit(session: StagerSession): void {
     const { backendServer, dataCentre } = session.announcement!;
-    this.#getOrCreateDataCentre(dataCentre).permits.end(backendServer);
+    this.#getOrCreateDataCentre(dataCentre).permits.release(backendServer);
   }
 
   #listTargetVersions(): Set<string> {
@@ -172,12 +175,12 @@
   }
 
   #createDataCentre(dataCentre: string): DataCentreState {
-    const { weighing, manifests } = this.#options;
+    const { objective: objective, manifests } = this.#options;
     const coordinator = new SpreadCoordinator({
       dataCentre,
-      policy: new SwapPolicy({
+      policy: new PeerExchangePolicy({
         ...defaultSpreadOptions,
-        weighing,
+        objective,
         random: Math.random,
         ranking: new RarestRanking(),
       }),
@@ -193,9 +196,9 @@
         send: (message) => session.outgoing$.next(message),
       });
     }
-    const permits = new LoadTurns({
-      outShare: MAX_LOADING_SHARE,
-      turnMilliseconds: PERMIT_TIMEOUT_MILLISECONDS,
+    const permits = new LoadPermits({
+      maxLoadingShare: MAX_LOADING_SHARE,
+      permitTimeoutMilliseconds: PERMIT_TIMEOUT_MILLISECONDS,
     });
     return { coordinator, permits };
   }
--- a/packages/daemon/src/rollout/spread_coordinator.ts
+++ b/packages/daemon/src/rollout/spread_coordinator.ts
@@ -80,7 +80,7 @@
     const deferred = this.#deferred;
     this.#deferred = [];
     for (const { backendServer, report } of deferred) {
-      this.takeReport(backendServer, report);
+      this.recordReport(backendServer, report);
     }
   }
 
@@ -101,7 +101,7 @@
     this.#schedulePlan();
   }
 
-  takeReport(backendServer: string, report: ChunkReport): void {
+  recordReport(backendServer: string, report: ChunkReport): void {
     const host = this.#hosts.get(backendServer);
     const table = this.#tables.get(report.version);
     if (host === undefined) return;
@@ -125,7 +125,7 @@
       table.addChunk(backendServer, chunk, now);
     }
     table.host(backendServer)!.followsPlans = report.followsPlans;
-    table.noteHeard(backendServer);
+    table.markResponsive(backendServer);
     this.#schedulePlan();
   }
 
@@ -150,15 +150,17 @@
 
   #plan(): void {
     const now = monotonicMilliseconds();
-    const hasWork = [...this.#tables.values()].some((table) => table.hasWork);
-    if (!hasWork) return this.#stopReplanning();
+    const hasMissingChunks = [...this.#tables.values()].some((table) =>
+      table.hasMissingChunks
+    );
+    if (!hasMissingChunks) return this.#stopReplanning();
     this.#timer ??= setInterval(
       () => this.#plan(),
       REPLAN_INTERVAL_MILLISECONDS,
     );
     for (const table of this.#tables.values()) {
-      if (!table.hasWork) continue;
-      table.endOverdue(now);
+      if (!table.hasMissingChunks) continue;
+      table.expireTransfers(now);
       const assignments = this.#options.policy.plan(table, now);
       for (const [host, orders] of groupByHost(assignments)) {
         this.#sendPlan(table, host, orders);
--- a/packages/daemon/src/rollout/stager_session.ts
+++ b/packages/daemon/src/rollout/stager_session.ts
@@ -35,8 +35,8 @@
   manifests: ManifestKeeper;
   log: EventLog;
   controlAddresses: () => string[];
-  notice: (notice: EngineNotice) => void;
-  noteLoad: (load: EngineLoad) => void;
+  publishNotice: (notice: EngineNotice) => void;
+  publishLoad: (load: EngineLoad) => void;
   namedAges: (model: string) => { version: number; ageMilliseconds: number }[];
 };
 
@@ -111,7 +111,7 @@
 
   #publishNotice({ agentGone }: { agentGone: boolean }): void {
     const announcement = this.announcement!;
-    this.#options.notice(create(EngineNoticeSchema, {
+    this.#options.publishNotice(create(EngineNoticeSchema, {
       engineAddress: announcement.engineAddress,
       accepting: announcement.accepting,
       servingVersion: announcement.servingVersion,
@@ -122,7 +122,7 @@
   }
 
   #onLoad({ running, queued }: LoadReport): void {
-    this.#options.noteLoad(create(EngineLoadSchema, {
+    this.#options.publishLoad(create(EngineLoadSchema, {
       engineAddress: this.announcement!.engineAddress,
       running,
       waiting: queued,
--- a/packages/daemon/src/spread/chunk_fetcher.ts
+++ b/packages/daemon/src/spread/chunk_fetcher.ts
@@ -10,7 +10,7 @@
   dataCentre: string;
   pacer: LinkPacer;
   /** How chunks are requested from the weight store. */
-  storeFormat: WeightStoreFormat;
+  weightStoreFormat: WeightStoreFormat;
 };
 
 type FetchRequest = {
@@ -46,11 +46,11 @@
     request: FetchRequest,
   ): Promise<Result<Buffer, string>> {
     const { manifest, chunks, signal, store } = request;
-    const { pacer, storeFormat } = this.#options;
+    const { pacer, weightStoreFormat } = this.#options;
     const parts: Buffer[] = [];
     for (const chunk of chunks) {
       const part = await fetchBytes({
-        ...storeFormat.chunkRequest(store, manifest, chunk),
+        ...weightStoreFormat.buildChunkRequest(store, manifest, chunk),
         expectedBytes: chunkSizeBytes(manifest, chunk),
         pacer,
         signal,
--- a/packages/daemon/src/spread/chunk_sender.ts
+++ b/packages/daemon/src/spread/chunk_sender.ts
@@ -11,7 +11,7 @@
   dataCentre: string;
   cache: WeightsCache;
   /** Limits everything that this sender sends over the host's link. */
-  link: LinkPacer;
+  linkPacer: LinkPacer;
   /** Rate limit towards each other data centre; 0 for no limit. */
   regionBytesPerSecond: number;
   /** Sent at once; a live response may have to wait behind it. */
@@ -48,12 +48,12 @@
       response.writeHead(404).end();
       return;
     }
-    const { dataCentre, link } = this.#options;
+    const { dataCentre, linkPacer } = this.#options;
     const header = request.headers["teaselrouter-data-centre"];
     const destination = typeof header === "string" ? header : dataCentre;
     const pacers = destination === dataCentre
-      ? [link]
-      : [link, this.#getRegionPacer(destination)];
+      ? [linkPacer]
+      : [linkPacer, this.#getRegionPacer(destination)];
     response.writeHead(200, { "Content-Length": bytes.length });
     await this.#sendPaced(response, bytes, pacers);
     response.end();
@@ -89,7 +89,7 @@
     const { sliceBytes = SLICE_BYTES } = this.#options;
     for (let at = 0; at < bytes.length; at += sliceBytes) {
       const slice = bytes.subarray(at, at + sliceBytes);
-      for (const pacer of pacers) await pacer.take(slice.length);
+      for (const pacer of pacers) await pacer.waitFor(slice.length);
       if (response.destroyed) return;
       if (!response.write(slice)) await once(response, "drain");
     }
--- a/packages/daemon/src/spread/link_pacer.ts
+++ b/packages/daemon/src/spread/link_pacer.ts
@@ -12,7 +12,7 @@
   }
 
   /** Waits until the link has capacity for `bytes`. */
-  async take(bytes: number): Promise<void> {
+  async waitFor(bytes: number): Promise<void> {
     const delayMilliseconds = this.reserve(bytes);
     if (delayMilliseconds > 0) await pause(delayMilliseconds);
   }
--- a/packages/daemon/src/spread/range_store_format.ts
+++ b/packages/daemon/src/spread/range_store_format.ts
@@ -2,7 +2,7 @@
 
 /** For weight stores that serve a version as one file with range requests. */
 export const rangeStoreFormat: WeightStoreFormat = {
-  chunkRequest(store, manifest, chunk) {
+  buildChunkRequest(store, manifest, chunk) {
     const first = chunk * manifest.chunk_bytes;
     const end = Math.min(first + manifest.chunk_bytes, manifest.total_bytes);
     const name = encodeURIComponent(manifest.name);
--- a/packages/daemon/src/spread/spread_client.ts
+++ b/packages/daemon/src/spread/spread_client.ts
@@ -71,11 +71,11 @@
    * When this host received the target, monotonic milliseconds; the current
    * time without a target.
    */
-  get targetSince(): number {
+  get targetReceivedAt(): number {
     return this.#target?.startedAt ?? monotonicMilliseconds();
   }
 
-  get version(): string {
+  get targetVersion(): string {
     return this.#target?.version ?? "";
   }
 
@@ -105,7 +105,7 @@
     );
   }
 
-  takePlan(plan: SpreadPlan): void {
+  applyPlan(plan: SpreadPlan): void {
     const target = this.#target;
     if (target === undefined || plan.version !== target.version) return;
     this.#plannedAt = monotonicMilliseconds();
@@ -119,14 +119,14 @@
     const target = this.#target;
     if (target === undefined) return;
     const { cache } = this.#options;
-    const held = cache.held(target.version)!;
+    const held = cache.heldChunks(target.version)!;
     if (held.isComplete) {
       clearInterval(this.#timer);
       this.#timer = undefined;
       return;
     }
     if (this.#fetching.size > 0 || this.#isWaitingForPlan()) return;
-    const missing = cache.blocks(target.version)!.missingIn(held);
+    const missing = cache.blocks(target.version)!.incompleteBlocks(held);
     const { random } = this.#options;
     for (let count = 0; count < MAX_UNPLANNED_FETCHES; count += 1) {
       const block = missing[Math.floor(random() * missing.length)]!;
--- a/packages/daemon/src/spread/weights_cache.ts
+++ b/packages/daemon/src/spread/weights_cache.ts
@@ -54,12 +54,12 @@
    * Blocks of a version of which every chunk is held; empty for a version that
    * is not in the cache.
    */
-  wholeBlocks(version: string): number[] {
+  listCompleteBlocks(version: string): number[] {
     const known = this.#versions.get(version);
-    return known === undefined ? [] : known.blocks.wholeIn(known.held);
+    return known === undefined ? [] : known.blocks.completeBlocks(known.held);
   }
 
-  held(version: string): ChunkSet | undefined {
+  heldChunks(version: string): ChunkSet | undefined {
     return this.#versions.get(version)?.held;
   }
 
@@ -85,7 +85,7 @@
   }
 
   /** Drops all versions except these. */
-  keep(versions: Set<string>): void {
+  keepOnly(versions: Set<string>): void {
     for (const name of [...this.#versions.keys()]) {
       if (!versions.has(name)) this.#versions.delete(name);
     }
--- a/packages/daemon/src/stager/arrival_predictor.ts
+++ b/packages/daemon/src/stager/arrival_predictor.ts
@@ -1,4 +1,4 @@
-import { isNearlyHeld } from "@teaselrouter/core/rollout/is_nearly_held.ts";
+import { isNearlyComplete } from "@teaselrouter/core/rollout/is_nearly_complete.ts";
 import type { WeightsCache } from "../spread/weights_cache.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
@@ -26,8 +26,8 @@
    * @param since when this host learned of the version, monotonic
    *   milliseconds.
    */
-  isNearlyHeld(version: string, since: number): boolean {
-    const held = this.#cache.held(version);
+  isNearlyComplete(version: string, since: number): boolean {
+    const held = this.#cache.heldChunks(version);
     if (held === undefined) return false;
     const now = monotonicMilliseconds();
     if (version !== this.#version || held.count !== this.#heldCount) {
@@ -35,11 +35,11 @@
       this.#heldCount = held.count;
       this.#heldCountChangedAt = now;
     }
-    return isNearlyHeld({
+    return isNearlyComplete({
       held: held.count,
       total: held.total,
       elapsedMilliseconds: now - since,
-      quietMilliseconds: now - this.#heldCountChangedAt,
+      millisecondsSinceLastChunk: now - this.#heldCountChangedAt,
     });
   }
 }
--- a/packages/daemon/src/stager/staged_chunks.ts
+++ b/packages/daemon/src/stager/staged_chunks.ts
@@ -40,7 +40,7 @@
     if (this.#isRecovered) return [];
     const { engine, cache, log } = this.#options;
     const version = versionName(manifest);
-    const staged = await engine.stagedChunks(manifest.name);
+    const staged = await engine.listStagedChunks(manifest.name);
     if (staged.isErr) {
       log.warn("staged-chunks-unreadable", { reason: staged.error });
       return [];
@@ -68,7 +68,7 @@
   async writeMissing(model: string, version: string): Promise<boolean> {
     const { engine, cache, log } = this.#options;
     this.#switchVersion(version);
-    const held = cache.held(version);
+    const held = cache.heldChunks(version);
     if (held === undefined) return false;
     for (const chunk of held.held()) {
       if (this.#written.has(chunk)) continue;
--- a/packages/daemon/src/stager/staged_loader.ts
+++ b/packages/daemon/src/stager/staged_loader.ts
@@ -134,7 +134,7 @@
    */
   async #reconcile(): Promise<boolean> {
     const { engine, log } = this.#options;
-    const report = await engine.report();
+    const report = await engine.fetchReport();
     if (report.isErr) {
       log.debug("engine-silent", { reason: report.error });
       this.#updateEngineState("", 0);
@@ -157,7 +157,7 @@
     );
     if (serving > 0 && !this.#mayStopServing(target, serving)) {
       this.#setAccepting(true);
-      return !this.#arrival.isNearlyHeld(target.version, target.since);
+      return !this.#arrival.isNearlyComplete(target.version, target.since);
     }
     this.#startDraining(target);
     if (isStaged) await this.#load(target, serving);
@@ -192,7 +192,7 @@
     const { namedVersions, weightsBoundMilliseconds } = this.#options;
     const supersededAt = Math.min(
       since,
-      namedVersions.overtakenAt(model, serving),
+      namedVersions.supersededAt(model, serving),
     );
     return weightsUnusedAt(supersededAt, weightsBoundMilliseconds);
   }
@@ -205,7 +205,9 @@
    */
   #mayStopServing(target: LoadTarget, serving: number): boolean {
     if (monotonicMilliseconds() > this.#unusedAt(target, serving)) return true;
-    if (!this.#arrival.isNearlyHeld(target.version, target.since)) return false;
+    if (!this.#arrival.isNearlyComplete(target.version, target.since)) {
+      return false;
+    }
     if (this.#permittedVersion === target.version) return true;
     this.#requestPermit(target.version);
     return false;
@@ -228,7 +230,7 @@
   async #load(target: LoadTarget, serving: number): Promise<void> {
     const { engine, log } = this.#options;
     const isIntact = await this.#verifyAndDrain(target, serving);
-    const report = await engine.report();
+    const report = await engine.fetchReport();
     if (!isIntact || report.isErr || this.#target !== target) return;
     const { sequence } = report.value;
     const answer = await engine.load({
@@ -271,7 +273,7 @@
     );
     await pause(NOTICE_PROPAGATION_MILLISECONDS);
     while (monotonicMilliseconds() < until && this.#target === target) {
-      const report = await this.#options.engine.report();
+      const report = await this.#options.engine.fetchReport();
       if (report.isErr) return;
       if (report.value.running + report.value.waiting === 0) return;
       await pause(POLL_INTERVAL_MILLISECONDS);
--- a/packages/daemon/src/stager/staged_loader_test.ts
+++ b/packages/daemon/src/stager/staged_loader_test.ts
@@ -58,7 +58,7 @@
   #sequence = 0;
   #read = new Set<number>();
 
-  report(): Promise<Result<EngineReport, string>> {
+  fetchReport(): Promise<Result<EngineReport, string>> {
     return Promise.resolve(Result.ok({
       models: this.models,
       isBusy: false,
@@ -69,7 +69,7 @@
     }));
   }
 
-  stagedChunks(): Promise<Result<number[], string>> {
+  listStagedChunks(): Promise<Result<number[], string>> {
     return Promise.resolve(Result.ok([...this.staged.keys()]));
   }
 
--- a/packages/daemon/src/stager/stager_app.ts
+++ b/packages/daemon/src/stager/stager_app.ts
@@ -19,7 +19,7 @@
 import { SpreadClient } from "../spread/spread_client.ts";
 import { WeightsCache } from "../spread/weights_cache.ts";
 import type { EventLog } from "../log/event_log.ts";
-import type { PlatformEdge } from "../platform/platform_edge.ts";
+import type { PlatformAdapter } from "../platform/platform_adapter.ts";
 import type { Settings } from "../settings/settings.ts";
 import type { ClientPool } from "../transport/client_pool.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
@@ -65,7 +65,7 @@
   clients: ClientPool;
   log: EventLog;
   metrics: StatsD;
-  platform: PlatformEdge;
+  platform: PlatformAdapter;
 };
 
 /**
@@ -94,7 +94,7 @@
       fetcher: new ChunkFetcher({
         dataCentre: settings.data_centre,
         pacer: new LinkPacer(this.#chunkBytesPerSecond),
-        storeFormat: platform.storeFormat,
+        weightStoreFormat: platform.weightStoreFormat,
       }),
       log,
       metrics,
@@ -112,19 +112,19 @@
       addresses: stager.control_hosts,
       dataCentre: settings.data_centre,
       clients,
-      ring: log.ring,
-      quietBeats: QUIET_BEATS_PER_HEARTBEAT,
-      takesFarPlans: true,
-      greet: (address) => [
+      timeline: log.timeline,
+      beatsPerHeartbeat: QUIET_BEATS_PER_HEARTBEAT,
+      allowsRemoteCoordinator: true,
+      createInitialMessages: (address) => [
         this.#buildAnnouncement(),
         ...(this.#target === undefined ? [] : [this.#buildFullReport(address)]),
       ],
-      beat: () => undefined,
+      createBeatMessage: () => undefined,
     });
     const chunkSender = new ChunkSender({
       dataCentre: settings.data_centre,
       cache: this.#cache,
-      link: new LinkPacer(this.#chunkBytesPerSecond),
+      linkPacer: new LinkPacer(this.#chunkBytesPerSecond),
       regionBytesPerSecond: 0,
       sliceBytes: this.#sliceBytes,
     });
@@ -159,7 +159,7 @@
    * connected control hosts send the current addresses themselves.
    */
   reload(settings: Settings): void {
-    if (this.#links.anyConnected !== undefined) return;
+    if (this.#links.anyConnectedAddress !== undefined) return;
     this.#links.setAddresses(settings.stager?.control_hosts ?? []);
   }
 
@@ -225,7 +225,7 @@
    * the message to the others or decides alone.
    */
   #sendToAnyControlHost(body: Parameters<EntryLinks["send"]>[1]): void {
-    const address = this.#links.anyConnected;
+    const address = this.#links.anyConnectedAddress;
     if (address !== undefined) this.#links.send(address, body);
   }
 
@@ -234,7 +234,7 @@
       case "target":
         return this.#handleTarget(body.value);
       case "plan":
-        return this.#spread.takePlan(body.value);
+        return this.#spread.applyPlan(body.value);
       case "permit":
         return this.#loader.grantPermit(body.value.version);
     }
@@ -252,7 +252,7 @@
     ) as WeightsManifest;
     this.#options.log.info("weights-target", { version: target.version });
     this.#spread.setTarget(manifest, target.store);
-    this.#cache.keep(new Set([versionName(manifest)]));
+    this.#cache.keepOnly(new Set([versionName(manifest)]));
     this.#links.broadcast((address) => this.#buildFullReport(address));
     this.#recordNamedVersions(manifest.name, target.named);
     this.#loader.setTarget(manifest.name, target.number, target.version);
@@ -313,7 +313,7 @@
 
   #buildFullReport(address: string) {
     const { version } = this.#target!;
-    const added = this.#cache.wholeBlocks(version);
+    const added = this.#cache.listCompleteBlocks(version);
     return this.#buildReport(address, {
       version,
       added,
--- a/packages/daemon/src/transport/client_pool.ts
+++ b/packages/daemon/src/transport/client_pool.ts
@@ -43,7 +43,7 @@
    * connection's state for good, while new connections work. Calls in flight
    * on the old connection are not aborted.
    */
-  renew(address: string): void {
+  dropConnection(address: string): void {
     this.#connections.delete(address);
   }
 
--- a/packages/daemon/src/transport/decode_backend.ts
+++ b/packages/daemon/src/transport/decode_backend.ts
@@ -1,8 +1,8 @@
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import { type Backend, BackendState } from "@teaselrouter/messages/follow.ts";
 
 /** Decodes a backend server's status as another process forwarded it. */
-export function decodeBackend(backend: Backend): BackendStanding {
+export function decodeBackend(backend: Backend): BackendAnnouncement {
   return {
     instance: backend.instance,
     service: backend.service,
@@ -17,7 +17,7 @@
   };
 }
 
-function decodeState(state: BackendState): BackendStanding["state"] {
+function decodeState(state: BackendState): BackendAnnouncement["state"] {
   if (state === BackendState.READY) return "ready";
   return state === BackendState.LEAVING ? "leaving" : "gone";
 }
--- a/packages/daemon/src/transport/decode_limit.ts
+++ b/packages/daemon/src/transport/decode_limit.ts
@@ -15,6 +15,6 @@
   return {
     incarnation,
     perSecond: perSecond < 0 ? undefined : perSecond,
-    saidAt: now - saidAgeMilliseconds,
+    announcedAt: now - saidAgeMilliseconds,
   };
 }
--- a/packages/daemon/src/transport/encode_backend.ts
+++ b/packages/daemon/src/transport/encode_backend.ts
@@ -1,5 +1,5 @@
 import { create } from "@bufbuild/protobuf";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import type { Backend } from "@teaselrouter/messages/follow.ts";
 import { BackendSchema, BackendState } from "@teaselrouter/messages/follow.ts";
 
@@ -10,7 +10,7 @@
 } as const;
 
 /** Encodes a backend server's status for another process. */
-export function encodeBackend(standing: BackendStanding): Backend {
+export function encodeBackend(standing: BackendAnnouncement): Backend {
   return create(BackendSchema, {
     ...standing,
     state: MESSAGE_STATES[standing.state],
--- a/packages/daemon/src/transport/encode_limit.ts
+++ b/packages/daemon/src/transport/encode_limit.ts
@@ -8,12 +8,12 @@
  * sent as an age, as monotonic clocks of different processes can't be compared.
  */
 export function encodeLimit(
-  { incarnation, perSecond, saidAt }: NamedLimit,
+  { incarnation, perSecond, announcedAt }: NamedLimit,
   now: number,
 ) {
   return {
     incarnation,
     perSecond: perSecond ?? NO_LIMIT,
-    saidAgeMilliseconds: now - saidAt,
+    saidAgeMilliseconds: now - announcedAt,
   };
 }
--- a/packages/daemon/src/transport/entry_links.ts
+++ b/packages/daemon/src/transport/entry_links.ts
@@ -1,5 +1,5 @@
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
-import { mayOpenNext } from "@teaselrouter/core/membership/may_open_next.ts";
+import { mayOpenNextStream } from "@teaselrouter/core/membership/may_open_next_stream.ts";
 import { rendezvousOwner } from "@teaselrouter/core/spread/rendezvous_owner.ts";
 import type { TimelineRing } from "@teaselrouter/core/timeline/timeline_ring.ts";
 import type {
@@ -66,21 +66,21 @@
   addresses: string[];
   dataCentre: string;
   clients: ClientPool;
-  ring: TimelineRing;
+  timeline: TimelineRing;
   /** First messages on a new stream to `address`. */
-  greet: (address: string) => MessageBody[];
+  createInitialMessages: (address: string) => MessageBody[];
   /**
    * Message to every entry host, asked for at each beat of 500 ms; undefined
    * when nothing has changed.
    */
-  beat: () => MessageBody | undefined;
+  createBeatMessage: () => MessageBody | undefined;
   /** While nothing changes, every how many beats a heartbeat is sent. */
-  quietBeats: number;
+  beatsPerHeartbeat: number;
   /**
    * Whether an entry host of another data centre may be the coordinator while
    * none of this data centre is connected. False by default.
    */
-  takesFarPlans?: boolean;
+  allowsRemoteCoordinator?: boolean;
 };
 
 /**
@@ -155,7 +155,7 @@
   send(address: string, body: MessageBody): void {
     const link = this.#links.find((known) => known.address === address);
     if (link?.outgoing === undefined) return;
-    const clock = this.#options.ring.now(Date.now());
+    const clock = this.#options.timeline.stampMessage(Date.now());
     link.outgoing.next(create(AgentToEntrySchema, {
       body,
       clockTime: clock.time,
@@ -178,14 +178,14 @@
    * Address for a message that any entry host can handle: the coordinator's, or
    * else one to which a stream is open or being opened; undefined for none.
    */
-  get anyConnected(): string | undefined {
+  get anyConnectedAddress(): string | undefined {
     return this.#coordinator ||
       this.#links.find((link) => link.outgoing !== undefined)?.address;
   }
 
   async #run(link: Link): Promise<void> {
     while (!this.#stopped && !link.isRemoved) {
-      if (!this.#mayOpenNext()) {
+      if (!this.#mayOpenNextStream()) {
         await pause(OPEN_POLL_MILLISECONDS);
         continue;
       }
@@ -194,15 +194,15 @@
     }
   }
 
-  #mayOpenNext(): boolean {
+  #mayOpenNextStream(): boolean {
     const openings = this.#links
       .filter(({ outgoing }) => outgoing !== undefined)
       .map(({ openedAt, host }) => ({ openedAt, isHeard: host !== "" }));
-    return mayOpenNext(openings, monotonicMilliseconds());
+    return mayOpenNextStream(openings, monotonicMilliseconds());
   }
 
   async #connect(link: Link): Promise<void> {
-    const { clients, greet } = this.#options;
+    const { clients, createInitialMessages } = this.#options;
     const outgoing = new Subject<AgentToEntry>();
     link.stop = new AbortController();
     link.lastMessageAt = monotonicMilliseconds();
@@ -213,10 +213,12 @@
         signal: link.stop.signal,
       });
       link.outgoing = outgoing;
-      for (const body of greet(link.address)) this.send(link.address, body);
+      for (const body of createInitialMessages(link.address)) {
+        this.send(link.address, body);
+      }
       for await (const message of incoming) this.#handleMessage(link, message);
     } catch {
-      clients.renew(link.address);
+      clients.dropConnection(link.address);
     } finally {
       outgoing.complete();
       link.outgoing = undefined;
@@ -227,7 +229,7 @@
 
   #handleMessage(link: Link, message: EntryToAgent): void {
     link.lastMessageAt = monotonicMilliseconds();
-    this.#options.ring.observe(Date.now(), {
+    this.#options.timeline.observe(Date.now(), {
       time: message.clockTime,
       counter: message.clockCounter,
     });
@@ -249,10 +251,12 @@
    * hosts, and when it is lost they all choose the same next one.
    */
   #chooseCoordinator(): void {
-    const { dataCentre, takesFarPlans } = this.#options;
+    const { dataCentre, allowsRemoteCoordinator } = this.#options;
     const connected = this.#links.filter((link) => link.host !== "");
     const local = connected.filter((link) => link.dataCentre === dataCentre);
-    const candidates = local.length === 0 && takesFarPlans ? connected : local;
+    const candidates = local.length === 0 && allowsRemoteCoordinator
+      ? connected
+      : local;
     const owner = rendezvousOwner(
       dataCentre,
       candidates.map(({ host }) => host),
@@ -272,12 +276,12 @@
 
   #sendBeat(): void {
     this.#abortSilent();
-    const body = this.#options.beat();
+    const body = this.#options.createBeatMessage();
     this.#beatsWithoutMessage = body === undefined
       ? this.#beatsWithoutMessage + 1
       : 0;
     if (body !== undefined) return this.broadcast(() => body);
-    if (this.#beatsWithoutMessage % this.#options.quietBeats === 0) {
+    if (this.#beatsWithoutMessage % this.#options.beatsPerHeartbeat === 0) {
       this.broadcast(() => ({ case: "heartbeat", value: {} }));
     }
   }
--- a/packages/daemon/src/transport/follow_link.ts
+++ b/packages/daemon/src/transport/follow_link.ts
@@ -137,7 +137,7 @@
     } catch (error) {
       reason = error instanceof Error ? error.message : String(error);
     }
-    clients.renew(address);
+    clients.dropConnection(address);
     if (this.#connected) log.warn("control-host-lost", { address, reason });
     this.#connected = false;
   }
--- a/packages/daemon/src/transport/follow_set.ts
+++ b/packages/daemon/src/transport/follow_set.ts
@@ -1,4 +1,4 @@
-import { mayOpenNext } from "@teaselrouter/core/membership/may_open_next.ts";
+import { mayOpenNextStream } from "@teaselrouter/core/membership/may_open_next_stream.ts";
 import { rendezvousOwner } from "@teaselrouter/core/spread/rendezvous_owner.ts";
 import type { ControlUpdate } from "@teaselrouter/messages/follow.ts";
 import { Subject } from "rxjs";
@@ -31,14 +31,14 @@
   /** Addresses of control hosts from the settings. */
   seeds: string[];
   /** Maximum number of control hosts to follow at once. */
-  most: number;
+  maxLinks: number;
   clients: ClientPool;
   log: EventLog;
   /**
    * Update for a control host that may know nothing yet, sent on each new
    * stream; undefined for none.
    */
-  standingNews?: () => FollowerUpdate | undefined;
+  initialUpdate?: () => FollowerUpdate | undefined;
 };
 
 /**
@@ -91,7 +91,7 @@
   }
 
   /** Sends an update to all control hosts that are followed. */
-  tell(update: FollowerUpdate): void {
+  broadcast(update: FollowerUpdate): void {
     for (const { link } of this.#links.values()) link.send(update);
   }
 
@@ -99,7 +99,7 @@
    * Replaces the control hosts' addresses by those that one of the control
    * hosts has sent. An empty list is ignored.
    */
-  learn(addresses: string[]): void {
+  setControlHosts(addresses: string[]): void {
     if (addresses.length === 0) return;
     this.#knownAddresses = addresses;
     this.#review();
@@ -135,7 +135,9 @@
     const candidates = this.#candidates();
     this.#closeUnknown(candidates);
     this.#closeUnreachable(candidates.length);
-    while (this.#links.size < this.#options.most && this.#mayOpenNext()) {
+    while (
+      this.#links.size < this.#options.maxLinks && this.#mayOpenNextStream()
+    ) {
       const unused = candidates.filter((address) => !this.#links.has(address));
       if (unused.length === 0) return;
       const now = monotonicMilliseconds();
@@ -154,13 +156,13 @@
    * Followers open one stream after the other. Control hosts open theirs all at
    * once, as they need each other to elect a leader.
    */
-  #mayOpenNext(): boolean {
+  #mayOpenNextStream(): boolean {
     if (this.#options.hello.isControl) return true;
     const openings = [...this.#links.values()].map(({ link, openedAt }) => ({
       openedAt,
       isHeard: link.isConnected,
     }));
-    return mayOpenNext(openings, monotonicMilliseconds());
+    return mayOpenNextStream(openings, monotonicMilliseconds());
   }
 
   /** A control host that is no longer a member can only send outdated state. */
@@ -183,19 +185,19 @@
   }
 
   #open(address: string): void {
-    const { hello, clients, log, standingNews } = this.#options;
+    const { hello, clients, log, initialUpdate } = this.#options;
     const link = new FollowLink({
       address,
       hello,
       clients,
       log,
-      initialUpdate: standingNews ?? (() => undefined),
+      initialUpdate: initialUpdate ?? (() => undefined),
       wantsLoads: () => !hello.isControl && this.#loadSourceAddress === address,
     });
     this.#links.set(address, { link, openedAt: monotonicMilliseconds() });
     link.updates$.subscribe((update) => {
       if (update.body.case === "controlHosts") {
-        this.learn(update.body.value.addresses);
+        this.setControlHosts(update.body.value.addresses);
       }
       this.updates$.next({ address, update });
     });
--- a/packages/daemon/src/transport/follow_set_test.ts
+++ b/packages/daemon/src/transport/follow_set_test.ts
@@ -62,7 +62,7 @@
     hello: { host: "h", dataCentre: "here", isControl },
     selfAddress: "",
     seeds: SEEDS,
-    most: SEEDS.length,
+    maxLinks: SEEDS.length,
     clients: hosts.clients,
     log: new EventLog("h", "error", undefined, {
       write: () => undefined,
--- a/packages/daemon/src/transport/internal_server_test.ts
+++ b/packages/daemon/src/transport/internal_server_test.ts
@@ -34,7 +34,7 @@
   await assert.rejects(read());
   assert.ok(performance.now() - startedAt < 1_000);
   mayConnect = true;
-  clients.renew(address);
+  clients.dropConnection(address);
   assert.deepEqual((await read()).events, []);
   clients.close();
   server.close();
--- a/packages/daemon/src/transport/ask_whether_ended.ts
+++ b/packages/daemon/src/transport/probe_process_end.ts
@@ -12,7 +12,7 @@
  * connecting to that address. Only a refused connection means "ended": a host
  * that is partitioned or powered off sends no reply, which means "unknown".
  */
-export function askWhetherEnded(
+export function probeProcessEnd(
   address: string,
 ): Promise<"ended" | "alive" | "unknown"> {
   return new Promise((resolve) => {
--- a/packages/daemon/src/wiring/start_daemon.ts
+++ b/packages/daemon/src/wiring/start_daemon.ts
@@ -8,10 +8,10 @@
 import { EventLog } from "../log/event_log.ts";
 import { StagerApp } from "../stager/stager_app.ts";
 import type { Daemon } from "./daemon.ts";
-import { createMetrics } from "../metrics/create_metrics.ts";
+import { createStatsdClient } from "../metrics/create_statsd_client.ts";
 import { MetricsServer } from "../metrics/metrics_server.ts";
 import { ProcessMetrics } from "../metrics/process_metrics.ts";
-import type { PlatformEdge } from "../platform/platform_edge.ts";
+import type { PlatformAdapter } from "../platform/platform_adapter.ts";
 import type { Settings } from "../settings/settings.ts";
 import { ClientPool } from "../transport/client_pool.ts";
 import { InternalServer } from "../transport/internal_server.ts";
@@ -19,7 +19,7 @@
 type Options = {
   settings: Settings;
   /** Adapter for the platform that this process runs on, if on one. */
-  platform?: PlatformEdge | undefined;
+  platform?: PlatformAdapter | undefined;
   /** Called on a failure after which this process can't continue safely. */
   stopProcess: (reason: string) => void;
 };
@@ -35,7 +35,7 @@
     settings.log.level,
     (event) => processMetrics.events.inc({ event }),
   );
-  const metrics = createMetrics(settings);
+  const metrics = createStatsdClient(settings);
   const clients = new ClientPool(settings.internal.dial);
   const stopProcess = (reason: string) => {
     log.error("process-stops", { reason });
@@ -60,7 +60,7 @@
   const gateway = hasRole("gateway")
     ? new GatewayApp({
       ...appOptions,
-      counted: processMetrics,
+      metrics: processMetrics,
       platform: platform!,
     })
     : undefined;
@@ -70,7 +70,7 @@
 
   const routes = (router: ConnectRouter) => {
     router.service(TimelineService, {
-      read: ({ since }) => ({ events: log.ring.since(since) }),
+      read: ({ since }) => ({ events: log.timeline.eventsSince(since) }),
     });
     control?.routes(router);
     entry?.routes(router);
--- a/packages/experiments/src/control/contract_experiment.ts
+++ b/packages/experiments/src/control/contract_experiment.ts
@@ -53,7 +53,7 @@
 async function measureClaims(system: RunningSystem): Promise<void> {
   const clients = new ClientPool();
   const session = new ControlSession({
-    hello: {
+    identity: {
       host: "bench",
       dataCentre: "van",
       incarnation: "bench",
--- a/packages/experiments/src/failures/agent_bench.ts
+++ b/packages/experiments/src/failures/agent_bench.ts
@@ -53,7 +53,7 @@
       dataCentre: "van",
       state: this.state,
       cache: this.#cache,
-      link: new LinkPacer(0),
+      linkPacer: new LinkPacer(0),
       regionBytesPerSecond: 0,
     });
     this.loader = new EngineLoader({
@@ -66,7 +66,7 @@
     });
     this.loader.permitWanted$.subscribe(({ version }) => {
       this.#token += 1;
-      this.loader.takePermit(version, this.#token);
+      this.loader.receivePermit(version, this.#token);
     });
     this.engine = new FakeEngine({
       address: this.engineAddress,
@@ -111,7 +111,7 @@
     return waitUntil(
       () =>
         this.state.servingVersion === `drafter@${version}` &&
-        this.state.refusal(Date.now()) === undefined,
+        this.state.refusalReason(Date.now()) === undefined,
       LIVE_MILLISECONDS,
     );
   }
--- a/packages/experiments/src/failures/chunk_sources_test.ts
+++ b/packages/experiments/src/failures/chunk_sources_test.ts
@@ -5,7 +5,7 @@
 import { SpreadClient } from "@teaselrouter/daemon/spread/spread_client.ts";
 import { WeightsCache } from "@teaselrouter/daemon/spread/weights_cache.ts";
 import { EventLog } from "@teaselrouter/daemon/log/event_log.ts";
-import { createMetrics } from "@teaselrouter/daemon/metrics/create_metrics.ts";
+import { createStatsdClient } from "@teaselrouter/daemon/metrics/create_statsd_client.ts";
 import { listen } from "@teaselrouter/daemon/transport/listen.ts";
 import type { Settings } from "@teaselrouter/daemon/settings/settings.ts";
 import { SpreadPlanSchema } from "@teaselrouter/messages/agent.ts";
@@ -48,10 +48,10 @@
       fetcher: new ChunkFetcher({
         dataCentre: "van",
         pacer: new LinkPacer(0),
-        storeFormat: rangeStoreFormat,
+        weightStoreFormat: rangeStoreFormat,
       }),
       log: new EventLog("bench", "error"),
-      metrics: createMetrics({ name: "bench" } as Settings),
+      metrics: createStatsdClient({ name: "bench" } as Settings),
       random: () => 0,
       hasCoordinator: () => false,
     });
@@ -72,7 +72,7 @@
   }
 
   order(chunks: number[], source: string): void {
-    this.client.takePlan(create(SpreadPlanSchema, {
+    this.client.applyPlan(create(SpreadPlanSchema, {
       version: VERSION,
       orders: chunks.map((chunk) => ({ chunk, source })),
       peers: [this.peerAddress],
@@ -117,7 +117,7 @@
   await withSources(damaged, async (bench) => {
     bench.order([0, 1, 2, 3], bench.peerAddress);
     assert.ok(await bench.hasFailed(4));
-    assert.equal(bench.cache.held(VERSION)!.count, 0);
+    assert.equal(bench.cache.heldChunks(VERSION)!.count, 0);
     bench.order([0, 1, 2, 3], "");
     assert.ok(await bench.isComplete());
   });
@@ -128,7 +128,7 @@
     bench.store.corrupt = true;
     bench.order([0, 1, 2, 3], "");
     assert.ok(await bench.hasFailed(4));
-    assert.equal(bench.cache.held(VERSION)!.count, 0);
+    assert.equal(bench.cache.heldChunks(VERSION)!.count, 0);
     bench.store.corrupt = false;
     bench.order([0, 1, 2, 3], "");
     assert.ok(await bench.isComplete());
--- a/packages/experiments/src/failures/claim_steps_test.ts
+++ b/packages/experiments/src/failures/claim_steps_test.ts
@@ -6,14 +6,14 @@
 import { Router } from "@teaselrouter/core/routing/router.ts";
 import { applyCommand } from "@teaselrouter/core/state/apply_command.ts";
 import type { Command } from "@teaselrouter/core/state/command.ts";
-import { emptyControlState } from "@teaselrouter/core/state/empty_control_state.ts";
+import { createEmptyControlState } from "@teaselrouter/core/state/create_empty_control_state.ts";
 import { AgentState } from "@teaselrouter/daemon/agent/agent_state.ts";
 import { CallRunner } from "@teaselrouter/daemon/agent/call_runner.ts";
-import { callRoutes } from "@teaselrouter/daemon/agent/call_routes.ts";
+import { createCallRoutes } from "@teaselrouter/daemon/agent/create_call_routes.ts";
 import { EngineClient } from "@teaselrouter/daemon/agent/engine_client.ts";
 import type { Proposer } from "@teaselrouter/daemon/entry/sessions/proposer.ts";
 import type { ProposalReply } from "@teaselrouter/daemon/entry/sessions/proposal_reply.ts";
-import { CallCrashes } from "@teaselrouter/daemon/entry/calls/call_crashes.ts";
+import { CallCrashDetector } from "@teaselrouter/daemon/entry/calls/call_crash_detector.ts";
 import { EventLog } from "@teaselrouter/daemon/log/event_log.ts";
 import { UnrepeatableCall } from "@teaselrouter/daemon/entry/calls/unrepeatable_call.ts";
 import { ClientPool } from "@teaselrouter/daemon/transport/client_pool.ts";
@@ -35,7 +35,7 @@
 
 /** A log of one copy whose answers can be lost on either side. */
 class FaultyLog implements Proposer {
-  readonly state = emptyControlState();
+  readonly state = createEmptyControlState();
   faults: Partial<Record<Command["kind"], Fault>> = {};
   #index = 0;
 
@@ -106,7 +106,7 @@
 
   async startAgent(incarnation: string): Promise<void> {
     this.agentState = new AgentState();
-    this.agentState.announce({
+    this.agentState.recordAnnouncement({
       service: "ledger",
       address: this.#addresses[1]!,
       checks_fencing: false,
@@ -120,7 +120,7 @@
       incarnation,
     });
     this.#server = new InternalServer({
-      routes: callRoutes(this.#runner, incarnation),
+      routes: createCallRoutes(this.#runner, incarnation),
     });
     await this.#server.listen(this.#addresses[0]!);
     this.#row.incarnation = incarnation;
@@ -129,7 +129,7 @@
   killAgent(): void {
     this.#server!.close();
     this.#runner!.stop();
-    this.clients.renew(this.#addresses[0]!);
+    this.clients.dropConnection(this.#addresses[0]!);
   }
 
   stop(): void {
@@ -143,7 +143,7 @@
     const outliers = new OutlierDetector();
     const policy = new RoundRobinPolicy();
     const { log: control, table, clients } = this;
-    const crashes = new CallCrashes({
+    const crashes = new CallCrashDetector({
       control,
       log: new EventLog("entry", "error"),
     });
--- a/packages/experiments/src/failures/crashing_calls_test.ts
+++ b/packages/experiments/src/failures/crashing_calls_test.ts
@@ -6,12 +6,12 @@
 import { Router } from "@teaselrouter/core/routing/router.ts";
 import { applyCommand } from "@teaselrouter/core/state/apply_command.ts";
 import type { Command } from "@teaselrouter/core/state/command.ts";
-import { emptyControlState } from "@teaselrouter/core/state/empty_control_state.ts";
+import { createEmptyControlState } from "@teaselrouter/core/state/create_empty_control_state.ts";
 import { AgentState } from "@teaselrouter/daemon/agent/agent_state.ts";
 import { CallRunner } from "@teaselrouter/daemon/agent/call_runner.ts";
-import { callRoutes } from "@teaselrouter/daemon/agent/call_routes.ts";
+import { createCallRoutes } from "@teaselrouter/daemon/agent/create_call_routes.ts";
 import { EngineClient } from "@teaselrouter/daemon/agent/engine_client.ts";
-import { CallCrashes } from "@teaselrouter/daemon/entry/calls/call_crashes.ts";
+import { CallCrashDetector } from "@teaselrouter/daemon/entry/calls/call_crash_detector.ts";
 import type { CheckedCall } from "@teaselrouter/daemon/entry/calls/checked_call.ts";
 import { RepeatableCall } from "@teaselrouter/daemon/entry/calls/repeatable_call.ts";
 import type { Problem } from "@teaselrouter/daemon/http/problem.ts";
@@ -38,15 +38,15 @@
 
 /** The replicated log, applied at once, and who follows it. */
 class Log {
-  readonly state = emptyControlState();
-  readonly followers: CallCrashes[] = [];
+  readonly state = createEmptyControlState();
+  readonly followers: CallCrashDetector[] = [];
   #index = 0;
 
   propose(command: Command) {
     this.#index += 1;
     const index = this.#index;
     const answer = applyCommand(this.state, command, index);
-    for (const follower of this.followers) follower.follow(this.state);
+    for (const follower of this.followers) follower.applyBlames(this.state);
     return Promise.resolve({
       kind: "committed" as const,
       index,
@@ -60,7 +60,7 @@
 /** Backend servers with their agents, and entry hosts that share the log. */
 class Bench {
   readonly services: EndingService[] = [];
-  readonly crashes: CallCrashes[] = [];
+  readonly crashes: CallCrashDetector[] = [];
   #table = new BackendServerTable();
   #clients = new ClientPool();
   #runners: CallRunner[] = [];
@@ -76,7 +76,7 @@
       flush: () => Promise.resolve(),
     });
     for (let index = 0; index < ENTRY_HOSTS; index += 1) {
-      this.crashes.push(new CallCrashes({ control: this.#log, log }));
+      this.crashes.push(new CallCrashDetector({ control: this.#log, log }));
     }
     this.#log.followers.push(...this.crashes);
   }
@@ -97,7 +97,7 @@
   async ask(host: number, body: string): Promise<Problem | undefined> {
     const crashes = this.crashes[host]!;
     const call = callOf(body);
-    const refusal = crashes.refusal(call);
+    const refusal = crashes.checkBlame(call);
     if (refusal !== undefined) return refusal;
     const outliers = new OutlierDetector();
     const policy = new RoundRobinPolicy();
@@ -122,7 +122,7 @@
     await service.start();
     this.services.push(service);
     const state = new AgentState();
-    state.announce({
+    state.recordAnnouncement({
       service: "portal",
       address: address!,
       checks_fencing: false,
@@ -136,7 +136,9 @@
       incarnation: name,
     });
     this.#runners.push(runner);
-    const server = new InternalServer({ routes: callRoutes(runner, name) });
+    const server = new InternalServer({
+      routes: createCallRoutes(runner, name),
+    });
     await server.listen(agentAddress!);
     this.#servers.push(server);
     this.#table.set(newBackendServerRow({
--- a/packages/experiments/src/failures/waiting_calls_test.ts
+++ b/packages/experiments/src/failures/waiting_calls_test.ts
@@ -28,7 +28,7 @@
   });
   await service.start();
   const state = new AgentState();
-  state.announce({
+  state.recordAnnouncement({
     service: "portal",
     address: address!,
     checks_fencing: false,
--- a/packages/experiments/src/fakes/weight_store.ts
+++ b/packages/experiments/src/fakes/weight_store.ts
@@ -94,7 +94,7 @@
     response.writeHead(206, { "Content-Length": bytes.length });
     for (let at = 0; at < bytes.length; at += SLICE_BYTES) {
       const slice = bytes.subarray(at, at + SLICE_BYTES);
-      await this.#pacer.take(slice.length);
+      await this.#pacer.waitFor(slice.length);
       if (response.destroyed) return;
       this.bytesSent += slice.length;
       response.write(slice);
--- a/packages/experiments/src/heavy/fleet_policies.ts
+++ b/packages/experiments/src/heavy/fleet_policies.ts
@@ -1,4 +1,4 @@
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import type { Decider } from "./decider.ts";
 import type { FleetSettings } from "./fleet_settings.ts";
 import { KnowingDecider } from "./knowing_decider.ts";
@@ -10,7 +10,7 @@
   host: string;
   dataCentre: string;
   settings: FleetSettings;
-  standings: BackendStanding[];
+  standings: BackendAnnouncement[];
   engines: readonly ModelledEngine[];
   random: () => number;
 };
--- a/packages/experiments/src/heavy/fleet_run.ts
+++ b/packages/experiments/src/heavy/fleet_run.ts
@@ -1,5 +1,5 @@
 import { seededRandom } from "@teaselrouter/core/random/seeded_random.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import { EventQueue } from "../overload/event_queue.ts";
 import { CallRun } from "./call_run.ts";
 import { capacityOf } from "./capacity_of.ts";
@@ -32,7 +32,7 @@
   /** Of callers, the same whatever hosts decide. */
   #random: () => number;
   #engines: ModelledEngine[];
-  #standings: BackendStanding[];
+  #standings: BackendAnnouncement[];
   #hosts: Host[];
   #tally = new FleetTally();
 
@@ -170,7 +170,10 @@
   return `centre-${index % data_centres}`;
 }
 
-function standingOf(index: number, settings: FleetSettings): BackendStanding {
+function standingOf(
+  index: number,
+  settings: FleetSettings,
+): BackendAnnouncement {
   return {
     instance: `engine-${index}`,
     service: "model",
--- a/packages/experiments/src/heavy/product_decider.ts
+++ b/packages/experiments/src/heavy/product_decider.ts
@@ -1,15 +1,15 @@
-import type { BackendChoice } from "@teaselrouter/core/gateway/backend_choice.ts";
+import type { BackendCandidate } from "@teaselrouter/core/gateway/backend_candidate.ts";
 import { BackendRecord } from "@teaselrouter/core/gateway/backend_record.ts";
 import { chooseBackend } from "@teaselrouter/core/gateway/choose_backend.ts";
 import { decidePlacement } from "@teaselrouter/core/gateway/decide_placement.ts";
 import type { EngineDefinition } from "@teaselrouter/core/gateway/engine_definition.ts";
-import { noteUsualLoad } from "@teaselrouter/core/gateway/note_usual_load.ts";
+import { updateAssumedLoad } from "@teaselrouter/core/gateway/update_assumed_load.ts";
 import { pickHomeBackends } from "@teaselrouter/core/gateway/pick_home_backends.ts";
 import { retryAfter } from "@teaselrouter/core/gateway/retry_after.ts";
 import type { Route } from "@teaselrouter/core/gateway/route.ts";
 import { SlotPressure } from "@teaselrouter/core/gateway/slot_pressure.ts";
-import { UsualPatience } from "@teaselrouter/core/gateway/usual_patience.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import { PatienceEstimator } from "@teaselrouter/core/gateway/patience_estimator.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import type { Decider } from "./decider.ts";
 import type { Decision } from "./decision.ts";
 import type { FleetSettings } from "./fleet_settings.ts";
@@ -22,18 +22,18 @@
   host: string;
   dataCentre: string;
   settings: FleetSettings;
-  standings: BackendStanding[];
+  standings: BackendAnnouncement[];
   random: () => number;
 };
 
 /** Decides by the very modules that a gateway decides by. */
 export class ProductDecider implements Decider {
   #options: Options;
-  #choices: BackendChoice[];
+  #choices: BackendCandidate[];
   #home: ReadonlySet<string>;
   #engine: EngineDefinition;
   #pressure = new SlotPressure();
-  #patience = new UsualPatience();
+  #patience = new PatienceEstimator();
   #timely = new Set<ModelledCall>();
 
   constructor(options: Options) {
@@ -48,9 +48,9 @@
 
   decide(call: ModelledCall, now: number): Decision {
     const { dataCentre, random } = this.#options;
-    noteUsualLoad(this.#choices, now);
+    updateAssumedLoad(this.#choices, now);
     const promising = this.#choices.filter(({ record }) =>
-      record.isPromising(now)
+      record.isAvailable(now)
     );
     const patience = call.endsAt - now;
     const choice = chooseBackend(promising, {
@@ -62,7 +62,10 @@
       now,
     });
     if (choice === undefined) return this.#refuse("outage", patience);
-    const spentBefore = this.#patience.spentBefore(routeOf(call), patience);
+    const spentBefore = this.#patience.estimateSpentMilliseconds(
+      routeOf(call),
+      patience,
+    );
     const placement = decidePlacement(choice, {
       engine: this.#engine,
       promptTokens: call.promptTokens,
@@ -71,7 +74,7 @@
       now,
     });
     if (spentBefore === 0) {
-      this.#pressure.note(
+      this.#pressure.recordRequest(
         placement.forecast!.requests >= choice.standing.slots,
       );
     }
@@ -89,21 +92,21 @@
   noteFirstEvent(call: ModelledCall, engine: number, now: number): void {
     const { record } = this.#choices[engine]!;
     this.#noteRead(call, record);
-    record.noteHeard(now);
-    record.countSuccess();
-    record.endTrial();
+    record.recordDataReceived(now);
+    record.recordSuccess();
+    record.endHalfOpen();
   }
 
   noteEnd(call: ModelledCall, engine: number, hold: number | undefined): void {
     const { record } = this.#choices[engine]!;
     record.inFlight -= 1;
     if (hold === undefined) this.#noteRead(call, record);
-    else record.noteHold(hold);
+    else record.recordSlotHoldTime(hold);
   }
 
   noteRejected(call: ModelledCall, engine: number, now: number): void {
     this.noteEnd(call, engine, undefined);
-    this.#choices[engine]!.record.leaveAside(now);
+    this.#choices[engine]!.record.eject(now);
   }
 
   hearLoad(
@@ -112,26 +115,26 @@
     { now, age }: { now: number; age: number },
   ): void {
     const { slots } = this.#options.settings.engine;
-    this.#choices[engine]!.record.takeReport({ ...load, slots }, now, age);
+    this.#choices[engine]!.record.recordReport({ ...load, slots }, now, age);
   }
 
   #noteSend(
     call: ModelledCall,
-    { record }: BackendChoice,
+    { record }: BackendCandidate,
     isTimely: boolean,
     now: number,
   ): void {
-    record.noteSend(now);
+    record.recordSend(now);
     record.inFlight += 1;
-    record.unreadTokens += call.promptTokens;
+    record.pendingPromptTokens += call.promptTokens;
     if (!isTimely) return;
-    record.timelyUnread += 1;
+    record.timelyUnanswered += 1;
     this.#timely.add(call);
   }
 
   #noteRead(call: ModelledCall, record: BackendRecord): void {
-    record.unreadTokens -= call.promptTokens;
-    if (this.#timely.delete(call)) record.timelyUnread -= 1;
+    record.pendingPromptTokens -= call.promptTokens;
+    if (this.#timely.delete(call)) record.timelyUnanswered -= 1;
   }
 
   #refuse(cause: "outage" | "overload", patience: number): Decision {
--- a/packages/experiments/src/overload/modelled_backend.ts
+++ b/packages/experiments/src/overload/modelled_backend.ts
@@ -1,4 +1,4 @@
-import { admitToQueue } from "@teaselrouter/core/routing/admit_to_queue.ts";
+import { queueRetryAfterMilliseconds } from "@teaselrouter/core/routing/queue_retry_after_milliseconds.ts";
 import type { EventQueue } from "./event_queue.ts";
 
 const LEARNING_SHARE = 0.05;
@@ -48,7 +48,7 @@
     }
     const { slots, refusesEarly } = this.options;
     const left = call.deadlineAt - this.#events.now;
-    const wait = admitToQueue({ ...this.load, slots }, left);
+    const wait = queueRetryAfterMilliseconds({ ...this.load, slots }, left);
     if (refusesEarly && wait > 0) {
       call.end("refused");
       return;
--- a/packages/experiments/src/overload/overload_model.ts
+++ b/packages/experiments/src/overload/overload_model.ts
@@ -7,7 +7,7 @@
 import { RetryBudget } from "@teaselrouter/core/routing/retry_budget.ts";
 import { RoundRobinPolicy } from "@teaselrouter/core/routing/round_robin_policy.ts";
 import { Router } from "@teaselrouter/core/routing/router.ts";
-import { emptyControlState } from "@teaselrouter/core/state/empty_control_state.ts";
+import { createEmptyControlState } from "@teaselrouter/core/state/create_empty_control_state.ts";
 import { build } from "hdr-histogram-js";
 import { EventQueue } from "./event_queue.ts";
 import { ModelledBackend } from "./modelled_backend.ts";
@@ -115,7 +115,7 @@
       ? new PredictedWaitPolicy({
         random: this.#random,
         dataCentre: "x",
-        crossingMilliseconds: 0,
+        crossDataCentreMilliseconds: 0,
       })
       : new RoundRobinPolicy();
     const router = new Router({ table, outliers, policy });
@@ -167,7 +167,7 @@
     now: number,
   ): BackendServerRow | undefined {
     const left = call.startedAt + DEADLINE_MILLISECONDS - now;
-    const decision = entry.router.route(emptyControlState(), {
+    const decision = entry.router.route(createEmptyControlState(), {
       service: "writer",
       prefix: "",
       // The naive twin sends whatever the wait.
--- a/packages/experiments/src/spread/spread_curve.ts
+++ b/packages/experiments/src/spread/spread_curve.ts
@@ -5,8 +5,8 @@
 import { RandomRanking } from "@teaselrouter/core/spread/random_ranking.ts";
 import { RarestRanking } from "@teaselrouter/core/spread/rarest_ranking.ts";
 import type { SpreadPolicy } from "@teaselrouter/core/spread/spread_policy.ts";
-import type { SpreadWeighing } from "@teaselrouter/core/spread/spread_weighing.ts";
-import { SwapPolicy } from "@teaselrouter/core/spread/swap_policy.ts";
+import type { SpreadObjective } from "@teaselrouter/core/spread/spread_objective.ts";
+import { PeerExchangePolicy } from "@teaselrouter/core/spread/peer_exchange_policy.ts";
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 import { FluidSpread } from "./fluid_spread.ts";
 import { OriginOnlyPolicy } from "./origin_only_policy.ts";
@@ -31,14 +31,14 @@
 }
 
 function swapping(
-  weighing: SpreadWeighing,
+  objective: SpreadObjective,
   options: Options,
   rankingFor: (random: () => number) => ChunkRanking,
 ) {
   return (dataCentre: string): SpreadPolicy => {
     const random = randomOf(dataCentre);
-    return new SwapPolicy({
-      weighing,
+    return new PeerExchangePolicy({
+      objective,
       random,
       ranking: rankingFor(random),
       ...defaultSpreadOptions,
--- a/packages/experiments/src/spread/spread_faults_test.ts
+++ b/packages/experiments/src/spread/spread_faults_test.ts
@@ -1,8 +1,8 @@
 import { seededRandom } from "@teaselrouter/core/random/seeded_random.ts";
 import { defaultSpreadOptions } from "@teaselrouter/core/spread/default_spread_options.ts";
 import { RarestRanking } from "@teaselrouter/core/spread/rarest_ranking.ts";
-import type { SpreadWeighing } from "@teaselrouter/core/spread/spread_weighing.ts";
-import { SwapPolicy } from "@teaselrouter/core/spread/swap_policy.ts";
+import type { SpreadObjective } from "@teaselrouter/core/spread/spread_objective.ts";
+import { PeerExchangePolicy } from "@teaselrouter/core/spread/peer_exchange_policy.ts";
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { FluidSpread } from "./fluid_spread.ts";
@@ -18,7 +18,7 @@
 
 function modelOf(
   hosts: number,
-  weighing: SpreadWeighing,
+  objective: SpreadObjective,
   onStep?: Step,
 ): FluidSpread {
   return new FluidSpread({
@@ -26,8 +26,8 @@
     hosts,
     chunks: CHUNKS,
     policyFor: (dataCentre) => {
-      return new SwapPolicy({
-        weighing,
+      return new PeerExchangePolicy({
+        objective,
         random: seededRandom(SEED + Number(dataCentre.slice(2))),
         ranking: new RarestRanking(),
         ...defaultSpreadOptions,
--- a/packages/storage/src/data_folder.ts
+++ b/packages/storage/src/data_folder.ts
@@ -43,7 +43,7 @@
 /** A Raft member's durable state: its identity, a snapshot and the log. */
 export class DataFolder {
   readonly identity: MemberIdentity;
-  readonly restored: RestoredLog;
+  readonly restoredLog: RestoredLog;
   #folder: string;
   #writer: LogWriter;
   #segmentNumber: number;
@@ -57,7 +57,7 @@
   }) {
     this.#folder = options.folder;
     this.identity = options.identity;
-    this.restored = options.restored;
+    this.restoredLog = options.restored;
     this.#writer = options.writer;
     this.#segmentNumber = options.segmentNumber;
   }
--- a/packages/storage/src/data_folder_test.ts
+++ b/packages/storage/src/data_folder_test.ts
@@ -53,7 +53,7 @@
 }
 
 function entryTexts(folder: DataFolder): string[] {
-  return folder.restored.entries.map((one) =>
+  return folder.restoredLog.entries.map((one) =>
     new TextDecoder().decode(one.data)
   );
 }
@@ -80,7 +80,7 @@
     entryTexts(folder),
     Array.from({ length: 300 }, (_, index) => `change ${index + 1}`),
   );
-  assert.equal(folder.restored.hardState.votedFor, "x");
+  assert.equal(folder.restoredLog.hardState.votedFor, "x");
   await folder.close();
   rmSync(path, { recursive: true });
 });
@@ -102,7 +102,7 @@
     const reopened = await openFolder(copy);
     const found = entryTexts(reopened);
     assert.ok(found.length >= 5 && found.length <= 7, `at byte ${length}`);
-    assert.ok(reopened.restored.hardState.term >= 1);
+    assert.ok(reopened.restoredLog.hardState.term >= 1);
     const next = found.length + 1;
     assert.ok((await reopened.append(batch([entry(next)], 3))).isOk);
     await reopened.close();
@@ -174,8 +174,8 @@
   await folder.close();
   const again = await openFolder(path);
   assert.deepEqual(entryTexts(again), ["change 9", "change 10", "change 11"]);
-  assert.equal(again.restored.snapshot.lastIndex, 8);
-  assert.equal(again.restored.hardState.term, 4);
+  assert.equal(again.restoredLog.snapshot.lastIndex, 8);
+  assert.equal(again.restoredLog.hardState.term, 4);
   assert.equal(
     readdirSync(path).filter((name) => name.startsWith("log-")).length,
     1,
--- a/packages/storage/src/power_loss_test.ts
+++ b/packages/storage/src/power_loss_test.ts
@@ -163,7 +163,7 @@
 }
 
 function listIndexes(folder: DataFolder): number[] {
-  return folder.restored.entries.map(({ index }) => Number(index));
+  return folder.restoredLog.entries.map(({ index }) => Number(index));
 }
 
 // The host loses power just after an operator's change was acknowledged. If the
@@ -178,7 +178,7 @@
     const expected = Array.from({ length: index }, (_, at) => at + 1);
     assert.deepEqual(listIndexes(reopened), expected);
     assert.equal(reopened.identity.id, first.identity.id);
-    assert.equal(reopened.restored.hardState.votedFor, "x");
+    assert.equal(reopened.restoredLog.hardState.votedFor, "x");
     await reopened.close();
   }
   await first.close();
@@ -196,7 +196,7 @@
   assert.ok(saved.isOk);
   await first.append(batch(entry(4)));
   const reopened = await openFolder(durable.copyAfterPowerLoss(folder));
-  assert.equal(Number(reopened.restored.snapshot.lastIndex), 2);
+  assert.equal(Number(reopened.restoredLog.snapshot.lastIndex), 2);
   assert.deepEqual(listIndexes(reopened), [3, 4]);
   assert.equal(reopened.identity.id, first.identity.id);
   await reopened.close();
