--- a/packages/core/src/gateway/backend_candidate.ts
+++ b/packages/core/src/gateway/backend_candidate.ts
@@ -6,6 +6,6 @@
  * host's record of its load and health.
  */
 export type BackendCandidate = {
-  standing: BackendAnnouncement;
+  announcement: BackendAnnouncement;
   record: BackendRecord;
 };
--- a/packages/core/src/gateway/choose_backend.ts
+++ b/packages/core/src/gateway/choose_backend.ts
@@ -41,7 +41,7 @@
  */
 const MAX_RANDOM_COST = 0.1;
 /**
- * Backend servers drawn at random for a request from the local ones that are
+ * Backend servers picked at random for a request from the local ones that are
  * not home backend servers, and as many from the other data centres.
  */
 const SAMPLE_SIZE = 2;
@@ -53,11 +53,11 @@
 
 /**
  * Chooses the backend server with the lowest cost among the home backend
- * servers, two other local ones drawn at random, and two drawn at random from
- * other data centres; undefined if there are no candidates. The cost is the load
- * relative to the slots plus penalties. Pending prompts add to it because an
- * engine prefills a prompt between the decoding steps of all its requests, and
- * so delays all of them.
+ * servers, two other local ones picked at random, and two picked at random from
+ * other data centres; undefined if there are no candidates. The cost is the
+ * load relative to the slots plus penalties. Pending prompts add to it because
+ * an engine prefills a prompt between the decoding steps of all its requests,
+ * and so delays all of them.
  *
  * Comparing only a random sample prevents herding: many hosts act on the same
  * slightly stale loads. If each compared all backend servers, all hosts would
@@ -68,10 +68,10 @@
   candidates: BackendCandidate[],
   request: Request,
 ): BackendCandidate | undefined {
-  const isLocal = ({ standing }: BackendCandidate) =>
-    standing.dataCentre === request.dataCentre;
-  const isHome = ({ standing }: BackendCandidate) =>
-    request.home.has(standing.instance);
+  const isLocal = ({ announcement }: BackendCandidate) =>
+    announcement.dataCentre === request.dataCentre;
+  const isHome = ({ announcement }: BackendCandidate) =>
+    request.home.has(announcement.instance);
   const home = candidates.filter(isHome);
   const local = candidates.filter((candidate) =>
     isLocal(candidate) && !isHome(candidate)
@@ -103,19 +103,19 @@
 }
 
 function computeCost(candidate: BackendCandidate, request: Request): number {
-  const { standing, record } = candidate;
+  const { announcement, record } = candidate;
   const { dataCentre, engine, home, random, now } = request;
-  const slots = Math.max(1, standing.slots);
+  const slots = Math.max(1, announcement.slots);
   const utilization = record.estimateRequests(now) / slots;
   const noFreeSlotCost = utilization >= 1 ? NO_FREE_SLOT_COST : 0;
-  const isLocal = standing.dataCentre === dataCentre;
-  const isHome = home.has(standing.instance);
+  const isLocal = announcement.dataCentre === dataCentre;
+  const isHome = home.has(announcement.instance);
   const localityCost = !isLocal
     ? CROSS_DATA_CENTRE_COST
     : isHome
     ? 0
     : NON_HOME_COST;
-  const coldCost = standing.coldMilliseconds > 0 ? COLD_START_COST : 0;
+  const coldCost = announcement.coldMilliseconds > 0 ? COLD_START_COST : 0;
   const prefillCost = estimatePrefillMilliseconds(candidate, engine) /
     PREFILL_MILLISECONDS_PER_UNIT_COST;
   return utilization + noFreeSlotCost + localityCost + coldCost + prefillCost +
--- a/packages/core/src/gateway/choose_backend_test.ts
+++ b/packages/core/src/gateway/choose_backend_test.ts
@@ -34,7 +34,7 @@
   record.pendingPromptTokens = fixture.pendingTokens ?? 0;
   return {
     record,
-    standing: {
+    announcement: {
       instance: fixture.instance,
       service: "s",
       address: "10.0.0.1:80",
@@ -57,7 +57,7 @@
     engine: ENGINE,
     random: () => 0.5,
     now: 0,
-  })?.standing.instance;
+  })?.announcement.instance;
 }
 
 test("a local backend server is chosen unless a remote one has far less load", () => {
@@ -112,7 +112,7 @@
       engine: ENGINE,
       random,
       now: 0,
-    })!.standing.instance;
+    })!.announcement.instance;
     taken.set(chosen, (taken.get(chosen) ?? 0) + 1);
   }
   const most = Math.max(...taken.values());
@@ -135,7 +135,7 @@
       home: new Set(["home"]),
       random: () => 0.5,
       now: 0,
-    })?.standing.instance;
+    })?.announcement.instance;
   };
   assert.equal(chooseFrom(6, 4), "home");
   assert.equal(chooseFrom(8, 4), "other");
--- a/packages/core/src/gateway/decide_placement.ts
+++ b/packages/core/src/gateway/decide_placement.ts
@@ -46,9 +46,9 @@
   candidate: BackendCandidate,
   request: Request,
 ): Placement {
-  const { standing, record } = candidate;
+  const { announcement, record } = candidate;
   const { engine, promptTokens, now } = request;
-  const slots = Math.max(1, standing.slots);
+  const slots = Math.max(1, announcement.slots);
   const forecast = forecastFirstEvent({
     record,
     engine,
--- a/packages/core/src/gateway/decide_placement_test.ts
+++ b/packages/core/src/gateway/decide_placement_test.ts
@@ -24,7 +24,7 @@
 /** Interval of arrivals that use seven tenths of 16 slots of 1.3 s each. */
 const ARRIVAL_INTERVAL_MILLISECONDS = 116;
 
-const STANDING = {
+const ANNOUNCEMENT = {
   instance: "i",
   service: "s",
   address: "10.0.0.1:80",
@@ -78,7 +78,7 @@
     while (next < arrivals.length && arrivals[next]! <= now) {
       next += 1;
       const { kind: placement, forecast } = decidePlacement({
-        standing: STANDING,
+        announcement: ANNOUNCEMENT,
         record,
       }, {
         engine: ENGINE,
@@ -130,7 +130,7 @@
 test("late requests use spare capacity, and are refused without any", () => {
   const record = new BackendRecord();
   const place = (targetLeftMilliseconds: number, slotPressure = 0) =>
-    decidePlacement({ standing: STANDING, record }, {
+    decidePlacement({ announcement: ANNOUNCEMENT, record }, {
       engine: ENGINE,
       promptTokens: 960,
       targetLeftMilliseconds,
@@ -151,7 +151,7 @@
   const record = new BackendRecord();
   record.inFlight = ENGINE.slots + 2;
   const place = (slotPressure: number) =>
-    decidePlacement({ standing: STANDING, record }, {
+    decidePlacement({ announcement: ANNOUNCEMENT, record }, {
       engine: ENGINE,
       promptTokens: 960,
       targetLeftMilliseconds: -500,
--- a/packages/core/src/gateway/pick_home_backends.ts
+++ b/packages/core/src/gateway/pick_home_backends.ts
@@ -22,11 +22,11 @@
  * their load is this host's own requests, which it knows without delay.
  */
 export function pickHomeBackends(
-  standings: readonly BackendAnnouncement[],
+  announcements: readonly BackendAnnouncement[],
   { host, dataCentre }: Options,
 ): ReadonlySet<string> {
-  const ranked = standings
-    .filter((standing) => standing.dataCentre === dataCentre)
+  const ranked = announcements
+    .filter((announcement) => announcement.dataCentre === dataCentre)
     .map(({ instance }) => ({
       instance,
       score: hashText(`${instance}\n${host}`),
--- a/packages/core/src/gateway/pick_home_backends_test.ts
+++ b/packages/core/src/gateway/pick_home_backends_test.ts
@@ -6,7 +6,7 @@
 const ENGINES = 15;
 const HOSTS = 8;
 
-function standings(dataCentre: string): BackendAnnouncement[] {
+function createAnnouncements(dataCentre: string): BackendAnnouncement[] {
   return Array.from({ length: ENGINES }, (_, index) => ({
     instance: `${dataCentre}-${index}`,
     service: "s",
@@ -24,7 +24,7 @@
 // 8 hosts of a data centre send to its 15 engines. Guards against all hosts
 // preferring the same few engines, and against preferring remote ones.
 test("each host prefers a few local backend servers, not all hosts the same", () => {
-  const all = [...standings("here"), ...standings("there")];
+  const all = [...createAnnouncements("here"), ...createAnnouncements("there")];
   const preferred = new Map<string, number>();
   for (let index = 0; index < HOSTS; index += 1) {
     const home = pickHomeBackends(all, {
@@ -44,9 +44,11 @@
 // Guards against replacing other home engines whenever one is added or removed.
 test("a removed backend server is replaced by one, the others stay", () => {
   const options = { host: "host-1", dataCentre: "here" };
-  const before = pickHomeBackends(standings("here"), options);
+  const before = pickHomeBackends(createAnnouncements("here"), options);
   const [gone] = before;
-  const left = standings("here").filter(({ instance }) => instance !== gone);
+  const left = createAnnouncements("here").filter(({ instance }) =>
+    instance !== gone
+  );
   const after = pickHomeBackends(left, options);
   const kept = [...before].filter((instance) => after.has(instance));
   assert.equal(kept.length, before.size - 1);
--- a/packages/core/src/gateway/update_assumed_load.ts
+++ b/packages/core/src/gateway/update_assumed_load.ts
@@ -32,9 +32,9 @@
     pendingTokens: 0,
     timely: 0,
   };
-  for (const { standing, record } of candidates) {
+  for (const { announcement, record } of candidates) {
     const freshness = record.reportFreshness(now);
-    sums.weightedSlots += freshness * standing.slots;
+    sums.weightedSlots += freshness * announcement.slots;
     sums.weightedRequests += freshness * record.reportedRequests;
     sums.inFlight += record.inFlight;
     sums.pendingTokens += record.pendingPromptTokens;
@@ -44,9 +44,9 @@
     ? 0
     : sums.weightedRequests / sums.weightedSlots;
   const requests = Math.max(1, sums.inFlight);
-  for (const { standing, record } of candidates) {
+  for (const { announcement, record } of candidates) {
     record.assumedRequests = NO_REPORT_LOAD_FACTOR * utilization *
-      standing.slots;
+      announcement.slots;
     record.meanPendingPromptTokens = sums.pendingTokens / requests;
     record.timelyUnansweredShare = sums.timely / requests;
   }
--- a/packages/core/src/gateway/update_assumed_load_test.ts
+++ b/packages/core/src/gateway/update_assumed_load_test.ts
@@ -8,7 +8,7 @@
 function createChoice(instance: string): BackendCandidate {
   return {
     record: new BackendRecord(),
-    standing: {
+    announcement: {
       instance,
       service: "s",
       address: "10.0.0.1:80",
@@ -35,7 +35,7 @@
     engine: undefined,
     random: () => 0.5,
     now,
-  })?.standing.instance;
+  })?.announcement.instance;
 }
 
 // Three hosts send to four engines. One engine is full of the other hosts'
--- a/packages/core/src/membership/backend_registry.ts
+++ b/packages/core/src/membership/backend_registry.ts
@@ -4,7 +4,7 @@
 /** Higher than the sequence of any announcement. */
 const LAST_SEQUENCE = Number.MAX_SAFE_INTEGER;
 
-type Entry = { standing: BackendAnnouncement; heardAt: number };
+type Entry = { announcement: BackendAnnouncement; heardAt: number };
 
 type Options = {
   /** Time without an announcement after which a backend server is gone. */
@@ -37,33 +37,36 @@
 
   /** Returns all backend servers, including gone ones still remembered. */
   all(): BackendAnnouncement[] {
-    return [...this.#entries.values()].map(({ standing }) => standing);
+    return [...this.#entries.values()].map(({ announcement }) => announcement);
   }
 
   get(instance: string): BackendAnnouncement | undefined {
-    return this.#entries.get(instance)?.standing;
+    return this.#entries.get(instance)?.announcement;
   }
 
-  /** Returns when an instance's standing was last replaced, 0 for never. */
+  /** Returns when an instance's announcement was last replaced, 0 for never. */
   heardAt(instance: string): number {
     return this.#entries.get(instance)?.heardAt ?? 0;
   }
 
   /**
-   * Merges an announcement. Returns the standings that changed in a field that
-   * affects routing; empty if the announcement is outdated.
+   * Merges an announcement. Returns the announcements that changed in a field
+   * that affects routing; empty if the announcement is outdated.
    */
-  merge(standing: BackendAnnouncement, now: number): BackendAnnouncement[] {
-    const known = this.#entries.get(standing.instance);
-    if (known !== undefined && !isLaterAnnouncement(standing, known.standing)) {
+  merge(announcement: BackendAnnouncement, now: number): BackendAnnouncement[] {
+    const known = this.#entries.get(announcement.instance);
+    if (
+      known !== undefined &&
+      !isLaterAnnouncement(announcement, known.announcement)
+    ) {
       return [];
     }
-    this.#set(standing, now);
+    this.#set(announcement, now);
     const changed = known === undefined ||
-      !isEquivalentForRouting(known.standing, standing);
+      !isEquivalentForRouting(known.announcement, announcement);
     return [
-      ...(changed ? [standing] : []),
-      ...this.#endPredecessorsAt(standing, now),
+      ...(changed ? [announcement] : []),
+      ...this.#endPredecessorsAt(announcement, now),
     ];
   }
 
@@ -77,17 +80,17 @@
 
   /**
    * Marks silent instances as gone and forgets those that have been gone for
-   * long. Returns the standings newly marked as gone.
+   * long. Returns the announcements newly marked as gone.
    */
   expire(now: number): BackendAnnouncement[] {
     const { silenceTimeoutMilliseconds, goneRetentionMilliseconds } =
       this.#options;
     const ended: BackendAnnouncement[] = [];
-    for (const [instance, { standing, heardAt }] of [...this.#entries]) {
+    for (const [instance, { announcement, heardAt }] of [...this.#entries]) {
       const silence = now - heardAt;
-      if (standing.state !== "gone") {
+      if (announcement.state !== "gone") {
         if (silence > silenceTimeoutMilliseconds) {
-          ended.push(...this.#markGone(instance, now, standing.sequence));
+          ended.push(...this.#markGone(instance, now, announcement.sequence));
         }
       } else if (silence > goneRetentionMilliseconds) {
         this.#entries.delete(instance);
@@ -101,15 +104,19 @@
     now: number,
     sequence: number,
   ): BackendAnnouncement[] {
-    const known = this.#entries.get(instance)?.standing;
+    const known = this.#entries.get(instance)?.announcement;
     if (known === undefined || known.state === "gone") return [];
-    const standing: BackendAnnouncement = { ...known, state: "gone", sequence };
-    this.#set(standing, now);
-    return [standing];
+    const announcement: BackendAnnouncement = {
+      ...known,
+      state: "gone",
+      sequence,
+    };
+    this.#set(announcement, now);
+    return [announcement];
   }
 
-  #set(standing: BackendAnnouncement, heardAt: number): void {
-    this.#entries.set(standing.instance, { standing, heardAt });
+  #set(announcement: BackendAnnouncement, heardAt: number): void {
+    this.#entries.set(announcement.instance, { announcement, heardAt });
     this.#live = undefined;
   }
 
@@ -120,11 +127,11 @@
   ): BackendAnnouncement[] {
     if (latest.state === "gone") return [];
     const ended: BackendAnnouncement[] = [];
-    for (const [instance, { standing }] of [...this.#entries]) {
+    for (const [instance, { announcement }] of [...this.#entries]) {
       if (
-        instance === latest.instance || standing.state === "gone" ||
-        standing.address !== latest.address ||
-        standing.bornAt > latest.bornAt
+        instance === latest.instance || announcement.state === "gone" ||
+        announcement.address !== latest.address ||
+        announcement.bornAt > latest.bornAt
       ) continue;
       ended.push(...this.#markGone(instance, now, LAST_SEQUENCE));
     }
--- a/packages/core/src/membership/backend_registry_test.ts
+++ b/packages/core/src/membership/backend_registry_test.ts
@@ -4,7 +4,9 @@
 import { BackendRegistry } from "./backend_registry.ts";
 import type { BackendAnnouncement } from "./backend_announcement.ts";
 
-function standing(change: Partial<BackendAnnouncement>): BackendAnnouncement {
+function createAnnouncement(
+  change: Partial<BackendAnnouncement>,
+): BackendAnnouncement {
   return {
     instance: "i-1",
     service: "ledger",
@@ -31,26 +33,26 @@
   // A backend server announces that it leaves, and is gone. A heartbeat that it
   // sent before, delayed by a cut link, arrives after that.
   const known = registry();
-  known.merge(standing({ sequence: 5 }), 0);
+  known.merge(createAnnouncement({ sequence: 5 }), 0);
   assert.equal(known.markGone("i-1", 10).length, 1);
-  assert.deepEqual(known.merge(standing({ sequence: 7 }), 20), []);
+  assert.deepEqual(known.merge(createAnnouncement({ sequence: 7 }), 20), []);
   assert.deepEqual(known.live(), []);
 });
 
 test("a start that reuses an instance id replaces the earlier start", () => {
   const known = registry();
-  known.merge(standing({ sequence: 900 }), 0);
+  known.merge(createAnnouncement({ sequence: 900 }), 0);
   known.markGone("i-1", 10);
-  known.merge(standing({ bornAt: 2_000, sequence: 1 }), 20);
+  known.merge(createAnnouncement({ bornAt: 2_000, sequence: 1 }), 20);
   assert.equal(known.live()[0]?.bornAt, 2_000);
-  assert.deepEqual(known.merge(standing({ sequence: 901 }), 30), []);
+  assert.deepEqual(known.merge(createAnnouncement({ sequence: 901 }), 30), []);
 });
 
 test("a new instance ends the earlier one at the same address", () => {
   const known = registry();
-  known.merge(standing({}), 0);
+  known.merge(createAnnouncement({}), 0);
   const changed = known.merge(
-    standing({ instance: "i-2", service: "portal", bornAt: 5_000 }),
+    createAnnouncement({ instance: "i-2", service: "portal", bornAt: 5_000 }),
     10,
   );
   assert.deepEqual(
@@ -61,10 +63,13 @@
 
 test("a silent backend server returns with its next announcement", () => {
   const known = registry();
-  known.merge(standing({}), 0);
+  known.merge(createAnnouncement({}), 0);
   assert.equal(known.expire(5_000).length, 0);
   assert.equal(known.expire(6_001)[0]?.state, "gone");
-  assert.equal(known.merge(standing({ sequence: 2 }), 6_100).length, 1);
+  assert.equal(
+    known.merge(createAnnouncement({ sequence: 2 }), 6_100).length,
+    1,
+  );
   assert.equal(known.live().length, 1);
 });
 
@@ -75,7 +80,9 @@
     for (let start = 1; start <= 2; start += 1) {
       for (let sequence = 1; sequence <= 4; sequence += 1) {
         const state = random() < 0.3 ? "leaving" : "ready";
-        announcements.push(standing({ bornAt: start, sequence, state }));
+        announcements.push(
+          createAnnouncement({ bornAt: start, sequence, state }),
+        );
       }
     }
     const shuffled = [...announcements].sort(() => random() - 0.5);
--- a/packages/core/src/membership/is_later_announcement.ts
+++ b/packages/core/src/membership/is_later_announcement.ts
@@ -1,9 +1,9 @@
 import type { BackendAnnouncement } from "./backend_announcement.ts";
 
 /**
- * Whether a standing supersedes the known one of the same instance. A heartbeat
- * that was delayed by a partition can arrive after its sender's end or next
- * start, and must not restore the state that it announces.
+ * Whether an announcement supersedes the known one of the same instance. A
+ * heartbeat that was delayed by a partition can arrive after its sender's end or
+ * next start, and must not restore the state that it announces.
  */
 export function isLaterAnnouncement(
   candidate: BackendAnnouncement,
--- a/packages/core/src/news/due_news_selector.ts
+++ b/packages/core/src/news/due_news_selector.ts
@@ -16,8 +16,8 @@
 
 /**
  * Selects which of many values to send now, within a rate limit: new ones,
- * significantly changed ones, and those not sent for `refreshMilliseconds`. Those
- * sent longest ago come first.
+ * significantly changed ones, and those not sent for `refreshMilliseconds`.
+ * Those sent longest ago come first.
  */
 export class DueNewsSelector {
   #options: Options;
--- a/packages/daemon/src/control/control_operations.ts
+++ b/packages/daemon/src/control/control_operations.ts
@@ -21,7 +21,7 @@
   nameWeights(
     named: { model: string; version: number },
   ): Promise<"accepted" | "unavailable">;
-  recordAnnouncement(standing: BackendAnnouncement): void;
+  recordAnnouncement(announcement: BackendAnnouncement): void;
   recordLeaving(instance: string): void;
   /** Logs input that could not be decoded, as from a newer or broken sender. */
   logUnreadable(what: string, detail: string): void;
--- a/packages/daemon/src/control/control_operations_handler.ts
+++ b/packages/daemon/src/control/control_operations_handler.ts
@@ -63,13 +63,13 @@
     }
     // The applied routing is committed, so a repeated older change is
     // acknowledged without asking the leader.
-    const standing = this.#appliedRouting?.version ?? -1;
-    const done = version <= standing ||
+    const current = this.#appliedRouting?.version ?? -1;
+    const done = version <= current ||
       (await this.#execute({ kind: "replace-routing", version, document })) !==
         undefined;
     log.info("routing-change", {
       version,
-      standing,
+      standing: current,
       outcome: done ? "accepted" : "unknown",
     });
     return done
@@ -118,8 +118,8 @@
     return await this.#execute(command) !== undefined;
   }
 
-  recordAnnouncement(standing: BackendAnnouncement): void {
-    this.#options.view.addLocalStanding(standing);
+  recordAnnouncement(announcement: BackendAnnouncement): void {
+    this.#options.view.addLocalAnnouncement(announcement);
   }
 
   recordLeaving(instance: string): void {
--- a/packages/daemon/src/control/platform_services.ts
+++ b/packages/daemon/src/control/platform_services.ts
@@ -169,7 +169,7 @@
   /** Takes over what another control host received from servers and agents. */
   #handleUpdate({ body }: ControlUpdate): void {
     if (body.case === "backends") {
-      this.view.addRemoteStandings(body.value.backends.map(decodeBackend));
+      this.view.addRemoteAnnouncements(body.value.backends.map(decodeBackend));
     }
     if (body.case === "crashes") this.view.crashes.addRemoteNews(body.value);
     if (body.case === "limits") this.view.limits.addRemoteNews(body.value);
--- a/packages/daemon/src/control/shared_view.ts
+++ b/packages/daemon/src/control/shared_view.ts
@@ -33,7 +33,7 @@
 /** Many engines change at once while a version is loaded or after an outage. */
 const NOTICE_BATCH_MILLISECONDS = 20;
 /** A fraction of the 6 s of silence after which a backend server is gone. */
-const STANDING_BATCH_MILLISECONDS = 200;
+const ANNOUNCEMENT_BATCH_MILLISECONDS = 200;
 
 type Options = {
   log: EventLog;
@@ -53,11 +53,11 @@
  * host itself ("local"), so that these don't circulate among control hosts.
  */
 export class SharedView {
-  /** Backend servers whose standing changed in a way that affects routing. */
+  /** Announcements that changed in a field that affects routing. */
   readonly changed$ = new Subject<Backend[]>();
   /**
-   * Standings that backend servers sent to this host. Mere signs of life are
-   * batched.
+   * Announcements that backend servers sent to this host. Those that change
+   * nothing for routing are batched.
    */
   readonly localBackends$ = new Subject<Backend[]>();
   /** Emits when the replicated state changed. */
@@ -88,8 +88,8 @@
   #noticeBatcher = batchByEngine<EngineNotice>(NOTICE_BATCH_MILLISECONDS);
   #loadBatcher = batchByEngine<EngineLoad>(LOAD_BATCH_MILLISECONDS);
   #localLoadBatcher = batchByEngine<EngineLoad>(LOAD_BATCH_MILLISECONDS);
-  #standingBatcher = new LatestValueBatcher<Backend>({
-    milliseconds: STANDING_BATCH_MILLISECONDS,
+  #announcementBatcher = new LatestValueBatcher<Backend>({
+    milliseconds: ANNOUNCEMENT_BATCH_MILLISECONDS,
     keyOf: ({ instance }) => instance,
   });
   #timer: NodeJS.Timeout;
@@ -101,7 +101,7 @@
       () => this.#expire(),
       EXPIRE_INTERVAL_MILLISECONDS,
     );
-    this.#standingBatcher.batches$.subscribe(this.localBackends$);
+    this.#announcementBatcher.batches$.subscribe(this.localBackends$);
   }
 
   stop(): void {
@@ -113,7 +113,7 @@
         this.#noticeBatcher,
         this.#loadBatcher,
         this.#localLoadBatcher,
-        this.#standingBatcher,
+        this.#announcementBatcher,
       ]
     ) batcher.stop();
   }
@@ -206,13 +206,13 @@
     return [...this.#notices.values()];
   }
 
-  /** Adds a standing that a backend server sent to this host. */
-  addLocalStanding(standing: BackendAnnouncement): void {
-    const changed = this.#registry.merge(standing, monotonicMilliseconds());
-    const encoded = encodeBackend(standing);
+  /** Adds an announcement that a backend server sent to this host. */
+  addLocalAnnouncement(announcement: BackendAnnouncement): void {
+    const changed = this.#registry.merge(announcement, monotonicMilliseconds());
+    const encoded = encodeBackend(announcement);
     // A mere sign of life can wait for the batch. A change is published before
     // the backend server gets its answer.
-    if (changed.length === 0) return this.#standingBatcher.add(encoded);
+    if (changed.length === 0) return this.#announcementBatcher.add(encoded);
     this.localBackends$.next([encoded]);
     this.#publishChanges(changed, "heard");
   }
@@ -224,11 +224,14 @@
     this.#publishChanges(ended, "heard");
   }
 
-  /** Adds standings that another control host received. */
-  addRemoteStandings(standings: BackendAnnouncement[]): void {
+  /** Adds announcements that another control host received. */
+  addRemoteAnnouncements(announcements: BackendAnnouncement[]): void {
     const now = monotonicMilliseconds();
-    for (const standing of standings) {
-      this.#publishChanges(this.#registry.merge(standing, now), "passed-on");
+    for (const announcement of announcements) {
+      this.#publishChanges(
+        this.#registry.merge(announcement, now),
+        "passed-on",
+      );
     }
   }
 
@@ -265,14 +268,14 @@
 
   #publishChanges(changed: BackendAnnouncement[], how: string): void {
     if (changed.length === 0) return;
-    for (const standing of changed) {
+    for (const announcement of changed) {
       this.#options.log.info("backend-server-changed", {
-        instance: standing.instance,
-        address: standing.address,
-        service: standing.service,
-        state: standing.state,
-        sequence: standing.sequence,
-        models: standing.models.map(({ name, version }) =>
+        instance: announcement.instance,
+        address: announcement.address,
+        service: announcement.service,
+        state: announcement.state,
+        sequence: announcement.sequence,
+        models: announcement.models.map(({ name, version }) =>
           `${name}@${version}`
         ).join(",") || "none",
         how,
--- a/packages/daemon/src/gateway/backend_pool.ts
+++ b/packages/daemon/src/gateway/backend_pool.ts
@@ -36,7 +36,7 @@
 
 type HomeSelection = {
   /** Backend servers that `home` was picked from. */
-  standings: readonly BackendAnnouncement[];
+  announcements: readonly BackendAnnouncement[];
   home: ReadonlySet<string>;
 };
 
@@ -70,9 +70,11 @@
   constructor(options: Options) {
     this.#options = options;
     options.feed.backends$.subscribe((changed) => {
-      for (const standing of changed) this.#resetIfRestarted(standing);
+      for (const announcement of changed) this.#resetIfRestarted(announcement);
     });
-    options.endedServers$.subscribe((standing) => this.#ejectEnded(standing));
+    options.endedServers$.subscribe((announcement) =>
+      this.#ejectEnded(announcement)
+    );
     options.feed.loads$.subscribe((loads) => this.#applyLoads(loads));
   }
 
@@ -121,7 +123,7 @@
     updateAssumedLoad(usable, monotonicMilliseconds());
     const best = this.#chooseBest(usable, query);
     const isLimited = best !== undefined &&
-      this.#options.namedLimits.isLimited(best.standing);
+      this.#options.namedLimits.isLimited(best.announcement);
     return isLimited ? this.#chooseWithinLimits(usable, query) : best;
   }
 
@@ -145,12 +147,12 @@
       if (isLastResort) return undefined;
       const isAdmitted = best === undefined ||
         (query.willSend
-          ? namedLimits.requestAdmission(best.standing)
-          : namedLimits.hasCapacity(best.standing));
+          ? namedLimits.requestAdmission(best.announcement)
+          : namedLimits.hasCapacity(best.announcement));
       if (isAdmitted) {
         if (!query.willSend) return best;
-        for (const { standing } of passedOver) {
-          namedLimits.logPassedOver(query.id, standing, best?.standing);
+        for (const { announcement } of passedOver) {
+          namedLimits.logPassedOver(query.id, announcement, best?.announcement);
         }
         return best;
       }
@@ -166,17 +168,19 @@
   millisecondsUntilCapacity(query: BackendQuery): number | undefined {
     const { namedLimits } = this.#options;
     const waits = this.#findUsable(query)
-      .filter(({ standing }) => namedLimits.isLimited(standing))
-      .map(({ standing }) => namedLimits.millisecondsUntilCapacity(standing));
+      .filter(({ announcement }) => namedLimits.isLimited(announcement))
+      .map(({ announcement }) =>
+        namedLimits.millisecondsUntilCapacity(announcement)
+      );
     return waits.length === 0 ? undefined : Math.min(...waits);
   }
 
   #findUsable(query: BackendQuery): BackendCandidate[] {
     return this.#options.feed.backendsOf(query.service)
-      .filter((standing) => this.#isEligible(standing, query))
-      .map((standing) => ({
-        standing,
-        record: this.recordOf(standing.instance),
+      .filter((announcement) => this.#isEligible(announcement, query))
+      .map((announcement) => ({
+        announcement,
+        record: this.recordOf(announcement.instance),
       }));
   }
 
@@ -203,33 +207,39 @@
    * backend servers have changed.
    */
   #homeOf(service: string): ReadonlySet<string> {
-    const standings = this.#options.feed.backendsOf(service);
+    const announcements = this.#options.feed.backendsOf(service);
     const known = this.#homes.get(service);
-    if (known?.standings === standings) return known.home;
-    const home = pickHomeBackends(standings, this.#options);
-    this.#homes.set(service, { standings, home });
+    if (known?.announcements === announcements) return known.home;
+    const home = pickHomeBackends(announcements, this.#options);
+    this.#homes.set(service, { announcements, home });
     return home;
   }
 
   #applyLoads(loads: EngineLoad[]): void {
     const now = monotonicMilliseconds();
     for (const { engineAddress, running, waiting } of loads) {
-      const standing = this.#options.feed.backendAt(engineAddress);
-      if (standing === undefined) continue;
-      const report = { running, waiting, slots: standing.slots };
-      const record = this.recordOf(standing.instance);
+      const announcement = this.#options.feed.backendAt(engineAddress);
+      if (announcement === undefined) continue;
+      const report = { running, waiting, slots: announcement.slots };
+      const record = this.recordOf(announcement.instance);
       record.recordReport(report, now, LOAD_REPORT_AGE_MILLISECONDS);
     }
   }
 
-  #isEligible(standing: BackendAnnouncement, query: BackendQuery): boolean {
-    if (standing.state !== "ready" || query.tried.has(standing.instance)) {
+  #isEligible(announcement: BackendAnnouncement, query: BackendQuery): boolean {
+    if (
+      announcement.state !== "ready" || query.tried.has(announcement.instance)
+    ) {
       return false;
     }
-    const notice = this.#options.feed.engineAt(standing.address);
+    const notice = this.#options.feed.engineAt(announcement.address);
     if (notice !== undefined && !notice.accepting) return false;
     if (query.model === undefined) return true;
-    return this.#hasUsableWeights(standing, query.model, query.weightsVersion);
+    return this.#hasUsableWeights(
+      announcement,
+      query.model,
+      query.weightsVersion,
+    );
   }
 
   /**
@@ -237,11 +247,11 @@
    * empty or loading holds no complete model.
    */
   #hasUsableWeights(
-    standing: BackendAnnouncement,
+    announcement: BackendAnnouncement,
     model: string,
     version: number | undefined,
   ): boolean {
-    const held = this.#heldVersion(standing, model);
+    const held = this.#heldVersion(announcement, model);
     if (held === undefined) return false;
     if (version !== undefined) return held === version;
     const endsAt = this.#weightsExpireAt(model, held);
@@ -253,8 +263,8 @@
    * Until when a request may begin on the engine's weights, monotonic
    * milliseconds; Infinity while no later version is named.
    */
-  weightsUsableUntil(standing: BackendAnnouncement, model: string): number {
-    const held = this.#heldVersion(standing, model);
+  weightsUsableUntil(announcement: BackendAnnouncement, model: string): number {
+    const held = this.#heldVersion(announcement, model);
     return held === undefined ? Infinity : this.#weightsExpireAt(model, held);
   }
 
@@ -270,14 +280,14 @@
    * the backend server's next heartbeat.
    */
   #heldVersion(
-    standing: BackendAnnouncement,
+    announcement: BackendAnnouncement,
     model: string,
   ): number | undefined {
-    const notice = this.#options.feed.engineAt(standing.address);
+    const notice = this.#options.feed.engineAt(announcement.address);
     const isOfThisStart = notice !== undefined &&
-      notice.engineBornAt === standing.bornAt;
+      notice.engineBornAt === announcement.bornAt;
     if (!isOfThisStart) {
-      return standing.models.find(({ name }) => name === model)?.version;
+      return announcement.models.find(({ name }) => name === model)?.version;
     }
     const prefix = `${model}@`;
     return notice.servingVersion.startsWith(prefix)
--- a/packages/daemon/src/gateway/backend_pool_test.ts
+++ b/packages/daemon/src/gateway/backend_pool_test.ts
@@ -8,7 +8,7 @@
 import type { ControlFeed } from "./control_feed.ts";
 import type { NamedLimits } from "./named_limits.ts";
 
-const STANDING: BackendAnnouncement = {
+const ANNOUNCEMENT: BackendAnnouncement = {
   instance: "one",
   service: "ledger",
   address: "10.0.0.1:80",
@@ -21,7 +21,7 @@
   models: [],
 };
 
-const OTHER = { ...STANDING, instance: "two", address: "10.0.0.2:80" };
+const OTHER = { ...ANNOUNCEMENT, instance: "two", address: "10.0.0.2:80" };
 
 function openPool(namedLimits = { isLimited: () => false } as object) {
   const backends$ = new Subject<BackendAnnouncement[]>();
@@ -31,7 +31,7 @@
     feed: {
       backends$,
       loads$,
-      backendsOf: () => [STANDING, OTHER],
+      backendsOf: () => [ANNOUNCEMENT, OTHER],
       engineAt: () => undefined,
     } as unknown as ControlFeed,
     host: "gateway",
@@ -40,29 +40,31 @@
     namedLimits: namedLimits as NamedLimits,
     endedServers$,
   });
-  backends$.next([STANDING, OTHER]);
+  backends$.next([ANNOUNCEMENT, OTHER]);
   return { pool, backends$, endedServers$ };
 }
 
 function isEjected(pool: BackendPool): boolean {
-  return pool.recordOf(STANDING.instance).isEjected(monotonicMilliseconds());
+  return pool.recordOf(ANNOUNCEMENT.instance).isEjected(
+    monotonicMilliseconds(),
+  );
 }
 
 // Guards against sending more requests to a backend server that is known to
 // have ended.
 test("a backend server that ended is ejected until it restarts", () => {
   const { pool, backends$, endedServers$ } = openPool();
-  endedServers$.next(STANDING);
+  endedServers$.next(ANNOUNCEMENT);
   assert.equal(isEjected(pool), true);
-  backends$.next([{ ...STANDING, bornAt: 5_000 }]);
+  backends$.next([{ ...ANNOUNCEMENT, bornAt: 5_000 }]);
   assert.equal(isEjected(pool), false);
 });
 
 // Guards against late news of an end, received after the next start.
 test("late news of an end does not eject the next start", () => {
   const { pool, backends$, endedServers$ } = openPool();
-  backends$.next([{ ...STANDING, bornAt: 5_000 }]);
-  endedServers$.next(STANDING);
+  backends$.next([{ ...ANNOUNCEMENT, bornAt: 5_000 }]);
+  endedServers$.next(ANNOUNCEMENT);
   assert.equal(isEjected(pool), false);
 });
 
--- a/packages/daemon/src/gateway/call_routing.ts
+++ b/packages/daemon/src/gateway/call_routing.ts
@@ -85,7 +85,8 @@
       now,
     });
     if (call.spentBeforeMilliseconds === 0) {
-      const isFull = placement.forecast!.requests >= candidate.standing.slots;
+      const isFull =
+        placement.forecast!.requests >= candidate.announcement.slots;
       pressure.recordRequest(isFull);
     }
     // After a failed attempt the request may have run: a refusal could not
--- a/packages/daemon/src/gateway/call_routing_test.ts
+++ b/packages/daemon/src/gateway/call_routing_test.ts
@@ -28,7 +28,10 @@
 function place(tried: string[]): string {
   const record = new BackendRecord();
   record.inFlight = SLOTS + 9;
-  const candidate = { record, standing: { slots: SLOTS } } as BackendCandidate;
+  const candidate = {
+    record,
+    announcement: { slots: SLOTS },
+  } as BackendCandidate;
   const routing = new CallRouting({
     context: {
       pool: { pressureOf: () => new SlotPressure() },
--- a/packages/daemon/src/gateway/call_sender.ts
+++ b/packages/daemon/src/gateway/call_sender.ts
@@ -69,12 +69,12 @@
     candidate: BackendCandidate,
     options: SendOptions,
   ): Promise<AttemptOutcome> {
-    const { standing, record } = candidate;
+    const { announcement, record } = candidate;
     const { promptTokens } = this.#call.metadata;
     const sentAt = monotonicMilliseconds();
     this.sentAt = sentAt;
-    this.tried.add(standing.instance);
-    this.#context.namedLimits.countSend(standing);
+    this.tried.add(announcement.instance);
+    this.#context.namedLimits.countSend(announcement);
     record.recordSend(sentAt);
     record.inFlight += 1;
     const timelyCount = options.placement.kind === "timely" ? 1 : 0;
@@ -94,13 +94,13 @@
 
   /** Counts a failure that was not this host's own doing. */
   noteFailure(
-    { standing, record }: BackendCandidate,
+    { announcement, record }: BackendCandidate,
     outcome: Exclude<AttemptOutcome, { kind: "answer" }>,
   ): void {
     const { log } = this.#context;
     log.info("send-failed", {
       id: this.#call.id,
-      instance: standing.instance,
+      instance: announcement.instance,
       outcome: outcome.kind,
       reason: outcome.reason,
       sends: this.tried.size,
@@ -112,8 +112,8 @@
       : outcome.kind === "broken" && record.recordFailure(now);
     if (!isEjected) return;
     log.warn("backend-server-aside", {
-      instance: standing.instance,
-      address: standing.address,
+      instance: announcement.instance,
+      address: announcement.address,
       reason: outcome.reason,
     });
   }
@@ -137,26 +137,26 @@
   }
 
   #openAttempt(
-    { standing }: BackendCandidate,
+    { announcement }: BackendCandidate,
     { weightsVersion, resumesAfter, placement }: SendOptions,
   ): BackendAttempt {
     const { connections, format, namedLimits } = this.#context;
     const call = this.#call;
     const left = Math.floor(call.deadlineAt - monotonicMilliseconds());
     return new BackendAttempt({
-      address: standing.address,
-      agent: connections.agentFor(standing.address),
+      address: announcement.address,
+      agent: connections.agentFor(announcement.address),
       method: call.method,
       path: call.path,
       body: call.body,
       id: call.id,
       format,
-      onMetadata: (metadata) => namedLimits.noteAnswer(standing, metadata),
+      onMetadata: (metadata) => namedLimits.noteAnswer(announcement, metadata),
       headers: format.buildForwardHeaders(call.rawHeaders, {
         weightsVersion,
         resumesAfter,
         deadlineMilliseconds: Math.max(1, left),
-        instance: standing.instance,
+        instance: announcement.instance,
         workspace: call.workspace,
         rank: placement.kind === "late"
           ? Math.min(MAX_RANK, call.rank + LATE_RANK_OFFSET)
@@ -171,12 +171,12 @@
    * Returns a function that stops the timer.
    */
   #abortWhenWeightsExpire(
-    { standing }: BackendCandidate,
+    { announcement }: BackendCandidate,
     attempt: BackendAttempt,
   ): () => void {
     const { model } = this.#call.metadata;
     if (model === undefined) return () => {};
-    const until = this.#context.pool.weightsUsableUntil(standing, model);
+    const until = this.#context.pool.weightsUsableUntil(announcement, model);
     if (until === Infinity) return () => {};
     const timer = setTimeout(
       () => attempt.abort("its weights are too old to begin on"),
--- a/packages/daemon/src/gateway/control_feed.ts
+++ b/packages/daemon/src/gateway/control_feed.ts
@@ -155,10 +155,10 @@
     log.info("routing-in-force", { version, before: currentVersion });
   }
 
-  #applyBackends(standings: BackendAnnouncement[]): void {
+  #applyBackends(announcements: BackendAnnouncement[]): void {
     const now = monotonicMilliseconds();
-    const changed = standings.flatMap((standing) =>
-      this.#registry.merge(standing, now)
+    const changed = announcements.flatMap((announcement) =>
+      this.#registry.merge(announcement, now)
     );
     if (changed.length === 0) return;
     for (const { instance, address, state, sequence } of changed) {
@@ -208,11 +208,11 @@
 function indexBackends(live: readonly BackendAnnouncement[]): BackendLookup {
   const byService = new Map<string, BackendAnnouncement[]>();
   const byAddress = new Map<string, BackendAnnouncement>();
-  for (const standing of live) {
-    byAddress.set(standing.address, standing);
-    const same = byService.get(standing.service);
-    if (same === undefined) byService.set(standing.service, [standing]);
-    else same.push(standing);
+  for (const announcement of live) {
+    byAddress.set(announcement.address, announcement);
+    const same = byService.get(announcement.service);
+    if (same === undefined) byService.set(announcement.service, [announcement]);
+    else same.push(announcement);
   }
   return { live, byService, byAddress };
 }
--- a/packages/daemon/src/gateway/crash_reporter.ts
+++ b/packages/daemon/src/gateway/crash_reporter.ts
@@ -108,9 +108,9 @@
     this.#ledger.expire(monotonicMilliseconds());
   }
 
-  #recordEnd({ standing, interrupted }: EndedServer): void {
+  #recordEnd({ announcement, interrupted }: EndedServer): void {
     const now = monotonicMilliseconds();
-    const incarnation = `${standing.instance}@${standing.bornAt}`;
+    const incarnation = `${announcement.instance}@${announcement.bornAt}`;
     for (const { fingerprint, begunMilliseconds } of interrupted) {
       const report = { fingerprint, incarnation, begunMilliseconds };
       if (this.#ledger.recordReport(report, now)) this.#reports.push(report);
--- a/packages/daemon/src/gateway/crash_watch.ts
+++ b/packages/daemon/src/gateway/crash_watch.ts
@@ -15,7 +15,7 @@
 /** A request in flight whose connection a backend server closed. */
 type BrokenRequest = {
   call: AdmittedCall;
-  standing: BackendAnnouncement;
+  announcement: BackendAnnouncement;
   /**
    * When the request's answer began, monotonic milliseconds; undefined if it
    * had not.
@@ -51,20 +51,20 @@
    * To be called for each request that a backend server, not this host, broke
    * off.
    */
-  noteBrokenRequest({ call, standing, begunAt }: BrokenRequest): void {
+  noteBrokenRequest({ call, announcement, begunAt }: BrokenRequest): void {
     const now = monotonicMilliseconds();
     const begunMilliseconds = begunAt === undefined ? undefined : now - begunAt;
     const fingerprint = fingerprintCall(call);
-    const known = this.#gathering.get(standing.instance);
+    const known = this.#gathering.get(announcement.instance);
     const interrupted = { call, fingerprint, begunMilliseconds };
     if (known !== undefined) return void known.interrupted.push(interrupted);
-    const suspected = { standing, interrupted: [interrupted], at: now };
-    this.#gathering.set(standing.instance, suspected);
+    const suspected = { announcement, interrupted: [interrupted], at: now };
+    this.#gathering.set(announcement.instance, suspected);
     setTimeout(() => this.#checkEnded(suspected), GATHER_MILLISECONDS);
   }
 
   async #checkEnded(suspected: SuspectedEnd): Promise<void> {
-    const { instance, address } = suspected.standing;
+    const { instance, address } = suspected.announcement;
     this.#gathering.delete(instance);
     if (this.#options.hasOpenConnection(address)) return;
     const answer = await probeProcessEnd(address);
@@ -80,9 +80,10 @@
     if (this.#pending.size === 0) return;
     const now = monotonicMilliseconds();
     for (const [instance, suspected] of [...this.#pending]) {
-      const { standing, at } = suspected;
+      const { announcement, at } = suspected;
       const isReplaced = changed.some((later) =>
-        later.address === standing.address && later.bornAt > standing.bornAt
+        later.address === announcement.address &&
+        later.bornAt > announcement.bornAt
       );
       if (!isReplaced && now - at <= PENDING_MILLISECONDS) continue;
       this.#pending.delete(instance);
@@ -91,11 +92,11 @@
   }
 
   #confirmEnd(ended: EndedServer, how: "refuses" | "replaced"): void {
-    const { standing, interrupted } = ended;
+    const { announcement, interrupted } = ended;
     for (const { call, fingerprint, begunMilliseconds } of interrupted) {
       this.#options.log.info("backend-server-ended", {
-        instance: standing.instance,
-        address: standing.address,
+        instance: announcement.instance,
+        address: announcement.address,
         how,
         id: call.id,
         fingerprint,
--- a/packages/daemon/src/gateway/ended_server.ts
+++ b/packages/daemon/src/gateway/ended_server.ts
@@ -17,6 +17,6 @@
  * that were in flight there.
  */
 export type EndedServer = {
-  standing: BackendAnnouncement;
+  announcement: BackendAnnouncement;
   interrupted: Interrupted[];
 };
--- a/packages/daemon/src/gateway/gateway_app.ts
+++ b/packages/daemon/src/gateway/gateway_app.ts
@@ -108,7 +108,9 @@
         dataCentre: settings.data_centre,
         weightsBoundMilliseconds: settings.gateway!.weights_bound_milliseconds,
         namedLimits,
-        endedServers$: crashWatch.ended$.pipe(map(({ standing }) => standing)),
+        endedServers$: crashWatch.ended$.pipe(
+          map(({ announcement }) => announcement),
+        ),
       }),
       connections,
       namedLimits,
--- a/packages/daemon/src/gateway/gateway_call.ts
+++ b/packages/daemon/src/gateway/gateway_call.ts
@@ -188,7 +188,7 @@
    */
   async #handleAnswer(
     active: ActiveCall,
-    { standing, record }: BackendCandidate,
+    { announcement, record }: BackendCandidate,
     { message, metadata }: Answer,
   ): Promise<"over" | "again"> {
     const { sender, forwarder, routing } = active;
@@ -219,10 +219,12 @@
       record.recordSlotHoldTime(monotonicMilliseconds() - now);
     }
     if (end === "broken") {
-      if (!sender.isAborted) this.#noteBreak(active, { standing, record }, now);
+      if (!sender.isAborted) {
+        this.#noteBreak(active, { announcement, record }, now);
+      }
       this.#context.log.info("answer-broken", {
         id: active.call.id,
-        instance: standing.instance,
+        instance: announcement.instance,
         last_event: forwarder.lastEventId,
         sends: sender.tried.size,
       });
@@ -230,20 +232,20 @@
     }
     this.#response.end();
     if (isGood) this.#context.crashes.noteSuccess(active.call);
-    const reason = standing.instance;
+    const reason = announcement.instance;
     this.#ending.finish(active, { status, reason, outcome: "answered" });
     return "over";
   }
 
   #noteBreak(
     { call, sender }: ActiveCall,
-    { standing }: BackendCandidate,
+    { announcement }: BackendCandidate,
     headAt: number | undefined,
   ): void {
     // Only streams send their head when work on them begins. Other answers are
     // sent at the end: for these, work counts from the sending of the request.
     const begunAt = call.route.kind === "stream" ? headAt : sender.sentAt;
-    this.#context.crashWatch.noteBrokenRequest({ call, standing, begunAt });
+    this.#context.crashWatch.noteBrokenRequest({ call, announcement, begunAt });
   }
 
   /**
--- a/packages/daemon/src/gateway/named_limits.ts
+++ b/packages/daemon/src/gateway/named_limits.ts
@@ -72,9 +72,12 @@
    * Records the limit that an answer names. A signed answer without one ends
    * the known limit.
    */
-  noteAnswer(standing: BackendAnnouncement, metadata: AnswerMetadata): void {
+  noteAnswer(
+    announcement: BackendAnnouncement,
+    metadata: AnswerMetadata,
+  ): void {
     const { limitPerSecond: perSecond, isSigned } = metadata;
-    const incarnation = incarnationOf(standing);
+    const incarnation = incarnationOf(announcement);
     const namesLimit = perSecond !== undefined;
     if (!namesLimit && !(isSigned && this.#tracked.has(incarnation))) return;
     const announcedAt = monotonicMilliseconds();
@@ -82,16 +85,16 @@
   }
 
   /** Whether the backend server has a limit now. */
-  isLimited(standing: BackendAnnouncement): boolean {
-    return this.#partOf(standing) !== undefined;
+  isLimited(announcement: BackendAnnouncement): boolean {
+    return this.#partOf(announcement) !== undefined;
   }
 
   /**
    * Whether a request may be sent to the backend server that is best for it.
    * Counts the request as wanted there.
    */
-  requestAdmission(standing: BackendAnnouncement): boolean {
-    const part = this.#partOf(standing);
+  requestAdmission(announcement: BackendAnnouncement): boolean {
+    const part = this.#partOf(announcement);
     if (part === undefined) return true;
     const now = monotonicMilliseconds();
     part.recordDemand(now);
@@ -99,20 +102,20 @@
   }
 
   /** Whether the limit leaves room for a request now; counts nothing. */
-  hasCapacity(standing: BackendAnnouncement): boolean {
-    return this.#partOf(standing)?.hasRoom(monotonicMilliseconds()) ?? true;
+  hasCapacity(announcement: BackendAnnouncement): boolean {
+    return this.#partOf(announcement)?.hasRoom(monotonicMilliseconds()) ?? true;
   }
 
   /** Counts a request that is sent to the backend server. */
-  countSend(standing: BackendAnnouncement): void {
-    this.#partOf(standing)?.take(monotonicMilliseconds());
+  countSend(announcement: BackendAnnouncement): void {
+    this.#partOf(announcement)?.take(monotonicMilliseconds());
   }
 
   /**
    * Milliseconds until the limit leaves room for a request; 0 without a limit.
    */
-  millisecondsUntilCapacity(standing: BackendAnnouncement): number {
-    return this.#partOf(standing)?.millisecondsUntilCapacity(
+  millisecondsUntilCapacity(announcement: BackendAnnouncement): number {
+    return this.#partOf(announcement)?.millisecondsUntilCapacity(
       monotonicMilliseconds(),
     ) ?? 0;
   }
@@ -123,16 +126,16 @@
    */
   logPassedOver(
     id: string,
-    standing: BackendAnnouncement,
+    announcement: BackendAnnouncement,
     to: BackendAnnouncement | undefined,
   ): void {
-    const part = this.#partOf(standing);
+    const part = this.#partOf(announcement);
     if (part === undefined) return;
     const now = monotonicMilliseconds();
     const { assignedAt } = part;
     this.#options.log.info("limited-server-passed-over", {
       id,
-      instance: standing.instance,
+      instance: announcement.instance,
       per_second: part.perSecond,
       part: part.part(now).toFixed(3),
       told_milliseconds_ago: assignedAt === undefined
@@ -142,9 +145,9 @@
     });
   }
 
-  #partOf(standing: BackendAnnouncement): LimitPartBucket | undefined {
+  #partOf(announcement: BackendAnnouncement): LimitPartBucket | undefined {
     if (this.#tracked.size === 0) return undefined;
-    return this.#tracked.get(incarnationOf(standing))?.part;
+    return this.#tracked.get(incarnationOf(announcement))?.part;
   }
 
   #applyNews({ parts }: LimitNews): void {
@@ -224,11 +227,11 @@
   /** Drops the limits of incarnations that have ended. */
   #dropEndedIncarnations(changed: BackendAnnouncement[]): void {
     if (this.#tracked.size === 0) return;
-    for (const standing of changed) {
-      const live = incarnationOf(standing);
+    for (const announcement of changed) {
+      const live = incarnationOf(announcement);
       for (const incarnation of [...this.#tracked.keys()]) {
-        const isSame = incarnation.startsWith(`${standing.instance}@`);
-        const hasEnded = standing.state === "gone" || incarnation !== live;
+        const isSame = incarnation.startsWith(`${announcement.instance}@`);
+        const hasEnded = announcement.state === "gone" || incarnation !== live;
         if (isSame && hasEnded) this.#tracked.delete(incarnation);
       }
     }
--- a/packages/daemon/src/transport/encode_backend.ts
+++ b/packages/daemon/src/transport/encode_backend.ts
@@ -10,9 +10,9 @@
 } as const;
 
 /** Encodes a backend server's status for another process. */
-export function encodeBackend(standing: BackendAnnouncement): Backend {
+export function encodeBackend(announcement: BackendAnnouncement): Backend {
   return create(BackendSchema, {
-    ...standing,
-    state: MESSAGE_STATES[standing.state],
+    ...announcement,
+    state: MESSAGE_STATES[announcement.state],
   });
 }
--- a/packages/experiments/src/heavy/product_decider.ts
+++ b/packages/experiments/src/heavy/product_decider.ts
@@ -38,8 +38,8 @@
 
   constructor(options: Options) {
     this.#options = options;
-    this.#choices = options.standings.map((standing) => ({
-      standing,
+    this.#choices = options.standings.map((announcement) => ({
+      announcement,
       record: new BackendRecord(),
     }));
     this.#home = pickHomeBackends(options.standings, options);
@@ -75,7 +75,7 @@
     });
     if (spentBefore === 0) {
       this.#pressure.recordRequest(
-        placement.forecast!.requests >= choice.standing.slots,
+        placement.forecast!.requests >= choice.announcement.slots,
       );
     }
     if (placement.kind === "refused") {
