--- a/acceptance/src/end_to_end_system_test.ts
+++ b/acceptance/src/end_to_end_system_test.ts
@@ -173,7 +173,7 @@
   });
 });
 
-test("malformed requests get an error status, and the gateway goes on serving", async () => {
+test("malformed requests get an error status, and the gateway keeps serving", async () => {
   await withSystem(async (system) => {
     const head = "GET /look/ HTTP/1.1\r\nHost: desk.example\r\n" +
       "Authorization: Bearer key-1\r\n";
--- a/packages/core/src/consensus/election_state.ts
+++ b/packages/core/src/consensus/election_state.ts
@@ -23,10 +23,10 @@
 
 /**
  * Fraction of the election timeout after which a member that neither leads nor
- * hears from a leader repeats its pre-vote. Members that start together do not
- * become reachable at the same moment, and requests sent before that are lost:
- * with a full election timeout between pre-votes, the other members were up
- * for a second before they were asked again. A pre-vote changes no term, so
+ * gets messages from a leader repeats its pre-vote. Members that start together
+ * do not become reachable at the same moment, and requests sent before that are
+ * lost: with a full election timeout between pre-votes, the other members were
+ * up for a second before they were asked again. A pre-vote changes no term, so
  * repeating it is safe.
  */
 const PRE_VOTE_RETRY_FRACTION = 0.3;
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Restarts the election timer: a leader was heard, a vote was granted, or
-   * an election began.
+   * Restarts the election timer: a leader's message arrived, a vote was
+   * granted, or an election began.
    */
   resetElectionTimer(now: number): void {
     const span = this.#options.electionTimeoutMilliseconds;
--- a/packages/core/src/consensus/leadership.ts
+++ b/packages/core/src/consensus/leadership.ts
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Whether this leader has a quorum and no leadership transfer is under way.
+   * Whether this leader has a quorum and no leadership transfer is in progress.
    * New entries during a transfer would put off the target's catching up.
    */
   acceptsProposals(now: number): boolean {
--- a/packages/core/src/consensus/raft_node.ts
+++ b/packages/core/src/consensus/raft_node.ts
@@ -249,9 +249,9 @@
 
   /**
    * Whether a vote request is ignored because this member leads with a quorum,
-   * or heard from a leader within the election timeout. Otherwise a member that
-   * returns from a partition with a high term, or a removed member that keeps
-   * asking for votes, would depose a healthy leader. An election that the
+   * or got a leader's message within the election timeout. Otherwise a member
+   * that returns from a partition with a high term, or a removed member that
+   * keeps asking for votes, would depose a healthy leader. An election that the
    * leader itself asked for is never ignored.
    */
   #isDisruptiveVoteRequest(message: PeerMessage, now: number): boolean {
--- a/packages/core/src/consensus/raft_node_test.ts
+++ b/packages/core/src/consensus/raft_node_test.ts
@@ -317,8 +317,8 @@
 });
 
 // Two members start a pre-vote at the same moment. On hosts that have just
-// started, a message takes a tenth of a second, so neither member hears from
-// the other before it asks itself. If both pre-votes were granted, both members
+// started, a message takes a tenth of a second, so each member asks before it
+// receives the other's request. If both pre-votes were granted, both members
 // would start an election, and neither would win it.
 test("of two overlapping pre-votes, the greater id's goes first", () => {
   const node = newNode([entry(1, 1)], 1);
--- a/packages/core/src/consensus/replicator.ts
+++ b/packages/core/src/consensus/replicator.ts
@@ -19,7 +19,7 @@
  * link may stay unacknowledged. This many bytes take about 10 ms.
  */
 const MAX_BYTES_PER_REQUEST = 131_072;
-/** How long a sent snapshot may be under way before it is sent again. */
+/** How long a sent snapshot may be in flight before it is sent again. */
 const SNAPSHOT_RETRY_MILLISECONDS = 2_000;
 
 type Send = (to: string, body: PeerMessage["body"]) => void;
--- a/packages/core/src/contracts/contract_row.ts
+++ b/packages/core/src/contracts/contract_row.ts
@@ -3,7 +3,7 @@
 /** A workspace's current contract. */
 export type ContractRow = {
   workspace: string;
-  /** Accepted changes so far; a change names the number that it replaces. */
+  /** Counts accepted changes from 1; a change names the one it replaces. */
   number: number;
   content: ContractContent;
   retired: boolean;
--- a/packages/core/src/crashes/crash_ledger.ts
+++ b/packages/core/src/crashes/crash_ledger.ts
@@ -60,7 +60,7 @@
     this.#options = options;
   }
 
-  /** Whether any request is refused, or on trial after its term. */
+  /** Whether any request is refused, or has a trial run after its term. */
   get hasBlamed(): boolean {
     return this.#blamed.size > 0;
   }
@@ -216,16 +216,16 @@
 
   /**
    * Counts another crash under a blamed request that was still in flight, or
-   * on trial, on some host. If no more than the time of a trial is left until
-   * `endsAt`, this counts as a failed trial and doubles the term.
+   * ran as a trial, on some host. If no more than the time of a trial is left
+   * until `endsAt`, this counts as a failed trial and doubles the term.
    */
   #extendBlame(blame: Blame, incarnation: string, now: number): void {
-    const wasOnTrial = blame.endsAt - now <= TRIAL_MILLISECONDS;
+    const wasTrialRun = blame.endsAt - now <= TRIAL_MILLISECONDS;
     blame.crashes += 1;
     blame.incarnations = [...blame.incarnations, incarnation].slice(
       -MAX_INCARNATIONS_PER_BLAME,
     );
-    if (wasOnTrial) {
+    if (wasTrialRun) {
       blame.termMilliseconds = Math.min(
         MAX_TERM_MILLISECONDS,
         blame.termMilliseconds * 2,
--- a/packages/core/src/gateway/backend_record_test.ts
+++ b/packages/core/src/gateway/backend_record_test.ts
@@ -21,7 +21,7 @@
   // keeps failing.
   const record = new BackendRecord();
   let now = 0;
-  const failUntilAside = () => {
+  const failUntilEjected = () => {
     let failures = 0;
     while (!record.isEjected(now)) {
       record.recordSuccess();
@@ -31,11 +31,11 @@
     }
     return failures;
   };
-  failUntilAside();
+  failUntilEjected();
   assert.equal(record.isEjected(now + 499), true);
   now += 500;
   assert.equal(record.isEjected(now), false);
-  failUntilAside();
+  failUntilEjected();
   assert.equal(record.isEjected(now + 999), true);
 });
 
--- a/packages/core/src/limits/divide_by_demand.ts
+++ b/packages/core/src/limits/divide_by_demand.ts
@@ -1,20 +1,20 @@
-type Demand = { host: string; wanted: number };
+type Demand = { host: string; rate: number };
 
 /**
- * Divides `total` among hosts by max-min fairness: a host that wants less than
- * an equal share gets what it wants, and the others share the remainder. What
- * is left when all hosts have what they want is divided equally.
+ * Divides `total` among hosts by max-min fairness: a host whose demand is less
+ * than an equal share gets its demand, and the others share the remainder. What
+ * is left when the demands of all hosts are met is divided equally.
  */
 export function divideByDemand(
   total: number,
   demands: Demand[],
 ): Map<string, number> {
   const shares = new Map<string, number>();
-  const byDemand = demands.toSorted((a, b) => a.wanted - b.wanted);
+  const byDemand = demands.toSorted((a, b) => a.rate - b.rate);
   let remaining = total;
   let hosts = byDemand.length;
-  for (const { host, wanted } of byDemand) {
-    const share = Math.min(wanted, remaining / hosts);
+  for (const { host, rate } of byDemand) {
+    const share = Math.min(rate, remaining / hosts);
     shares.set(host, share);
     remaining -= share;
     hosts -= 1;
--- a/packages/core/src/limits/limit_allotter.ts
+++ b/packages/core/src/limits/limit_allotter.ts
@@ -163,15 +163,15 @@
     const idle = Math.max(0, total) * IDLE_SHARE / live.length;
     const demands = live.map((host) => ({
       host,
-      wanted: Math.max(
+      rate: Math.max(
         idle,
         (this.#hosts.get(host)!.demands.get(workspace) ?? 0) * HEADROOM_FACTOR,
       ),
     }));
     // What nobody asked for stays out, or each report would move it around.
-    const totalWanted = demands.reduce((sum, demand) => sum + demand.wanted, 0);
+    const totalDemand = demands.reduce((sum, demand) => sum + demand.rate, 0);
     const shares = divideByDemand(
-      Math.max(0, totalWanted < total ? total : Math.min(total, totalWanted)),
+      Math.max(0, totalDemand < total ? total : Math.min(total, totalDemand)),
       demands,
     );
     return shares.get(options.host) ?? 0;
--- a/packages/core/src/membership/plan_membership.ts
+++ b/packages/core/src/membership/plan_membership.ts
@@ -23,7 +23,7 @@
  */
 const LOST_VOTER_MILLISECONDS = 6_000;
 const LOST_LEARNER_MILLISECONDS = 10_000;
-/** A member counts as running if it was heard from within this time. */
+/** A member counts as running if a message from it arrived within this time. */
 const RUNNING_MILLISECONDS = 1_000;
 
 /**
--- a/packages/core/src/named_limits/limit_division.ts
+++ b/packages/core/src/named_limits/limit_division.ts
@@ -22,9 +22,9 @@
  * among the hosts that send to them, in proportion to each host's demand.
  *
  * A backend server that announces a limit is soon the least loaded one, so
- * every host wants to send requests to it. Each host keeps to its part of the
- * limit without coordinating with the other hosts. With a limit of one request
- * a second and many hosts, the parts are fractions of a request, so a host
+ * every host has demand for it. Each host keeps to its part of the limit
+ * without coordinating with the other hosts. With a limit of one request a
+ * second and many hosts, the parts are fractions of a request, so a host
  * without traffic must not hold one.
  */
 export class LimitDivision {
@@ -34,7 +34,10 @@
     return this.#entries.size === 0;
   }
 
-  /** Whether it says something later than what is known. */
+  /**
+   * Records a limit. Returns whether it is new or its rate differs from the
+   * known one; a limit announced no later than the known one is ignored.
+   */
   recordLimit(limit: NamedLimit, now: number): boolean {
     const known = this.#entries.get(limit.incarnation);
     if (known !== undefined && known.limit.announcedAt >= limit.announcedAt) {
--- a/packages/core/src/named_limits/limit_part_bucket.ts
+++ b/packages/core/src/named_limits/limit_part_bucket.ts
@@ -3,13 +3,13 @@
  * takes to reach every host.
  */
 const GROWTH_DELAY_MILLISECONDS = 1_000;
-/** A host told no part for this long is assumed cut off from all others. */
+/** A host assigned no part for this long is assumed cut off from all others. */
 const ASSIGNMENT_TIMEOUT_MILLISECONDS = 2_000;
-/** Fraction of its part that a host goes on using while it is cut off. */
+/** Fraction of its part that a host keeps using while it is cut off. */
 const DISCONNECTED_FACTOR = 0.5;
 /**
- * Used until the host is told its part: eight such hosts together keep to the
- * limit.
+ * Used until the host is assigned its part: eight such hosts together keep to
+ * the limit.
  */
 const DEFAULT_PART = 0.125;
 /**
@@ -51,7 +51,7 @@
  * second. If every host could save up a whole request, as many requests as
  * there are hosts would be sent as soon as traffic reaches all of them.
  * Therefore a host sends a request once its tokens reach a random threshold,
- * drawn anew for each request, and owes the tokens missing to a whole one. And
+ * chosen anew for each request, and owes the tokens missing to a whole one. And
  * while no request is rejected, it saves only its part of a shared burst: with
  * many hosts a fraction of a request.
  */
@@ -61,7 +61,7 @@
   /** Tokens, in [0, 1), at which the next request may be sent. */
   #sendThreshold: number;
   #rejectedAt = -Infinity;
-  /** Tokens beyond the bucket's capacity, since the threshold was drawn. */
+  /** Tokens beyond the bucket's capacity, since the threshold was chosen. */
   #overflowTokens = 0;
   #assignments: Assignment[] = [];
   #tokens = 0;
@@ -101,15 +101,15 @@
     return this.#assignments.at(-1)?.at;
   }
 
-  /** Counts a request that this host would send there, admitted or not. */
+  /** Adds a request for the backend server to the demand, admitted or not. */
   recordDemand(now: number): void {
     this.#decayDemand(now);
     this.#demand.sum += 1;
     this.#lastDemandAt = now;
   }
 
-  /** Recent demand: requests a second that this host wanted to send there. */
-  wantedPerSecond(now: number): number {
+  /** Recent demand of this host for the backend server, requests per second. */
+  demandPerSecond(now: number): number {
     this.#decayDemand(now);
     const decayedRate = this.#demand.sum * 1_000 / DEMAND_DECAY_MILLISECONDS;
     const idleMilliseconds = Math.max(1, now - this.#lastDemandAt);
--- a/packages/core/src/named_limits/named_limits_test.ts
+++ b/packages/core/src/named_limits/named_limits_test.ts
@@ -11,7 +11,10 @@
 const ASSIGN_MILLISECONDS = 150;
 const WINDOW_MILLISECONDS = 4_000;
 const RUN_MILLISECONDS = 24_000;
-/** After this long the hosts together must keep to the limit. */
+/**
+ * Time from when the limit is first announced until the hosts together must
+ * keep to it.
+ */
 const STARTUP_MILLISECONDS = 3_000;
 const DUE_NEWS_OPTIONS = { refreshMilliseconds: 1_000, maxPerSecond: 55 };
 const INCARNATION = "one@1";
@@ -22,11 +25,11 @@
 
 type Host = {
   name: string;
-  part: LimitPartBucket;
+  bucket: LimitPartBucket;
   /** Parts that the control host assigned to this host lately. */
   due: DueNewsSelector;
   /** Requests a second that this host would send to the backend server. */
-  wants: number;
+  demand: number;
   disconnectedUntil: number;
   sent: number[];
 };
@@ -34,7 +37,7 @@
 type Plan = {
   seed: number;
   perSecond: number;
-  wants: number[];
+  demands: number[];
   /** Whether all hosts get 100 times as many requests in the second half. */
   jumps: boolean;
   /** Whether the traffic moves from host to host. */
@@ -59,11 +62,11 @@
   constructor(plan: Plan) {
     this.#plan = plan;
     this.#random = seededRandom(plan.seed);
-    this.hosts = plan.wants.map((wants, index) => ({
+    this.hosts = plan.demands.map((demand, index) => ({
       name: `host-${index}`,
-      part: new LimitPartBucket(plan.perSecond, 0, this.#random),
+      bucket: new LimitPartBucket(plan.perSecond, 0, this.#random),
       due: new DueNewsSelector(DUE_NEWS_OPTIONS),
-      wants,
+      demand,
       disconnectedUntil: -1,
       sent: [],
     }));
@@ -86,14 +89,14 @@
   }
 
   #surge(): void {
-    for (const host of this.hosts) host.wants *= SURGE_FACTOR;
+    for (const host of this.hosts) host.demand *= SURGE_FACTOR;
   }
 
   /** Gives each host the traffic of the next one. */
   #move(): void {
-    const wants = this.hosts.map((host) => host.wants);
+    const demands = this.hosts.map((host) => host.demand);
     for (const [index, host] of this.hosts.entries()) {
-      host.wants = wants[(index + 1) % wants.length]!;
+      host.demand = demands[(index + 1) % demands.length]!;
     }
   }
 
@@ -104,7 +107,7 @@
       if (kind === "cut") faulty.disconnectedUntil = this.#now + 4_000;
       if (kind === "control") this.#division = new LimitDivision();
       if (kind === "restart") {
-        faulty.part = new LimitPartBucket(
+        faulty.bucket = new LimitPartBucket(
           this.#plan.perSecond,
           this.#now,
           this.#random,
@@ -114,16 +117,16 @@
   }
 
   #simulateArrival(host: Host): void {
-    const chance = host.wants * STEP_MILLISECONDS / 1_000;
+    const chance = host.demand * STEP_MILLISECONDS / 1_000;
     if (this.#random() >= chance) return;
-    host.part.recordDemand(this.#now);
-    if (!host.part.admit(this.#now)) return;
-    host.part.take(this.#now);
+    host.bucket.recordDemand(this.#now);
+    if (!host.bucket.admit(this.#now)) return;
+    host.bucket.take(this.#now);
     host.sent.push(this.#now);
   }
 
   #report(host: Host): void {
-    const perSecond = host.part.wantedPerSecond(this.#now);
+    const perSecond = host.bucket.demandPerSecond(this.#now);
     this.#send(host, () => {
       const limit = {
         incarnation: INCARNATION,
@@ -131,8 +134,8 @@
         announcedAt: this.#now,
       };
       this.#division.recordLimit(limit, this.#now);
-      const wanted = { host: host.name, perSecond };
-      this.#division.recordDemand(INCARNATION, wanted, this.#now);
+      const demand = { host: host.name, perSecond };
+      this.#division.recordDemand(INCARNATION, demand, this.#now);
     });
   }
 
@@ -142,7 +145,7 @@
       if (assigned === undefined) continue;
       const item = { key: INCARNATION, value: assigned.part };
       if (host.due.select([item], this.#now).length === 0) continue;
-      this.#send(host, () => host.part.assignPart(assigned.part, this.#now));
+      this.#send(host, () => host.bucket.assignPart(assigned.part, this.#now));
     }
   }
 
@@ -195,7 +198,7 @@
   const schedule = new Schedule({
     seed: 1,
     perSecond: 2,
-    wants: [],
+    demands: [],
     jumps: false,
     moves: false,
     lossRate: 0,
@@ -225,7 +228,7 @@
   const plan = fc.record({
     seed: fc.nat({ max: 2 ** 30 }),
     perSecond: fc.double({ min: 0.2, max: 40, noNaN: true }),
-    wants: fc.array(fc.double({ min: 0, max: 60, noNaN: true }), {
+    demands: fc.array(fc.double({ min: 0, max: 60, noNaN: true }), {
       minLength: 1,
       maxLength: 10,
     }),
@@ -239,7 +242,7 @@
       const schedule = simulate(drawn as Plan);
       const faulty = new Set(
         drawn.faults.filter(({ kind }) => kind !== "control")
-          .map(({ host }) => `host-${host % drawn.wants.length}`),
+          .map(({ host }) => `host-${host % drawn.demands.length}`),
       );
       // Hosts that were cut off or restarted may exceed it, the others may not.
       const most = schedule.maxSentInWindow(({ name }) => !faulty.has(name));
@@ -255,7 +258,7 @@
     const { secondHalfRate } = simulate({
       seed,
       perSecond: 3,
-      wants: [12, ...idle],
+      demands: [12, ...idle],
     });
     assert.ok(
       secondHalfRate >= 0.75 * 3,
@@ -266,29 +269,29 @@
 
 // Guards against a limit below one request a second that starves all hosts.
 test("parts below one request starve neither the backend server nor a host", () => {
-  const wants = Array.from({ length: 10 }, () => 3);
-  const rate = meanSecondHalfRate({ perSecond: 0.8, wants });
+  const demands = Array.from({ length: 10 }, () => 3);
+  const rate = meanSecondHalfRate({ perSecond: 0.8, demands });
   assert.ok(rate >= 0.6 * 0.8, `${rate} a second`);
 });
 
 // Guards against a part of 0 for every host that had no request lately.
 test("infrequent requests at many hosts can use most of the limit", () => {
-  const wants = Array.from({ length: 10 }, () => 0.5);
-  const rate = meanSecondHalfRate({ perSecond: 2, wants });
+  const demands = Array.from({ length: 10 }, () => 0.5);
+  const rate = meanSecondHalfRate({ perSecond: 2, demands });
   assert.ok(rate >= 0.6 * 2, `${rate} a second`);
 });
 
 test("a limit above the demand rejects few requests", () => {
-  const wants = Array.from({ length: 10 }, () => 0.1);
-  const rate = meanSecondHalfRate({ perSecond: 3, wants });
+  const demands = Array.from({ length: 10 }, () => 0.1);
+  const rate = meanSecondHalfRate({ perSecond: 3, demands });
   assert.ok(rate >= 0.6, `${rate} a second of 1 that is wanted`);
 });
 
 // Guards against all hosts sending a saved-up request at the same moment.
 test("the limit holds when traffic rises at all hosts at once", () => {
   for (let seed = 1; seed <= 60; seed += 1) {
-    const wants = Array.from({ length: 10 }, () => 0.05);
-    const schedule = simulate({ seed, perSecond: 1, wants, jumps: true });
+    const demands = Array.from({ length: 10 }, () => 0.05);
+    const schedule = simulate({ seed, perSecond: 1, demands, jumps: true });
     const most = schedule.maxSentInWindow(() => true);
     assert.ok(most <= maxAllowed(1), `seed ${seed}: ${most} in 4 s`);
   }
@@ -320,12 +323,12 @@
 });
 
 test("a part shrinks at once, and grows after the others had time to shrink", () => {
-  const part = new LimitPartBucket(10, 0, seededRandom(1));
-  part.assignPart(0.5, 0);
-  part.assignPart(0.2, 100);
-  assert.equal(part.part(100), 0.2);
-  part.assignPart(0.8, 200);
-  assert.equal(part.part(200), 0.2);
-  part.assignPart(0.8, 1_201);
-  assert.equal(part.part(1_201), 0.8);
+  const bucket = new LimitPartBucket(10, 0, seededRandom(1));
+  bucket.assignPart(0.5, 0);
+  bucket.assignPart(0.2, 100);
+  assert.equal(bucket.part(100), 0.2);
+  bucket.assignPart(0.8, 200);
+  assert.equal(bucket.part(200), 0.2);
+  bucket.assignPart(0.8, 1_201);
+  assert.equal(bucket.part(1_201), 0.8);
 });
--- a/packages/core/src/news/due_news_selector_test.ts
+++ b/packages/core/src/news/due_news_selector_test.ts
@@ -5,33 +5,33 @@
 const REST_MILLISECONDS = 1_000;
 
 function select(
-  news: DueNewsSelector,
+  selector: DueNewsSelector,
   values: Record<string, number>,
   now: number,
 ): string[] {
   const items = Object.entries(values).map(([key, value]) => ({ key, value }));
-  return news.select(items, now).map(({ key }) => key);
+  return selector.select(items, now).map(({ key }) => key);
 }
 
 test("changed values are sent at once, unchanged ones at intervals", () => {
-  const news = new DueNewsSelector({
+  const selector = new DueNewsSelector({
     refreshMilliseconds: REST_MILLISECONDS,
     maxPerSecond: 100,
   });
-  assert.deepEqual(select(news, { a: 1, b: 1 }, 0), ["a", "b"]);
-  assert.deepEqual(select(news, { a: 1.1, b: 2 }, 100), ["b"]);
-  assert.deepEqual(select(news, { a: 1.1, b: 2 }, 1_000), ["a"]);
-  assert.deepEqual(select(news, { a: 0, b: 2 }, 1_050), ["a"]);
+  assert.deepEqual(select(selector, { a: 1, b: 1 }, 0), ["a", "b"]);
+  assert.deepEqual(select(selector, { a: 1.1, b: 2 }, 100), ["b"]);
+  assert.deepEqual(select(selector, { a: 1.1, b: 2 }, 1_000), ["a"]);
+  assert.deepEqual(select(selector, { a: 0, b: 2 }, 1_050), ["a"]);
 });
 
 // Guards against sending the same few of many values again and again.
 test("if the budget is exceeded, values sent longest ago come first", () => {
-  const news = new DueNewsSelector({
+  const selector = new DueNewsSelector({
     refreshMilliseconds: REST_MILLISECONDS,
     maxPerSecond: 2,
   });
   const values = { a: 1, b: 1, c: 1 };
-  assert.deepEqual(select(news, values, 0), ["a", "b"]);
-  assert.deepEqual(select(news, values, 1_000), ["c", "a"]);
-  assert.deepEqual(select(news, values, 2_000), ["b", "a"]);
+  assert.deepEqual(select(selector, values, 0), ["a", "b"]);
+  assert.deepEqual(select(selector, values, 1_000), ["c", "a"]);
+  assert.deepEqual(select(selector, values, 2_000), ["b", "a"]);
 });
--- a/packages/core/src/news/news_rate_limiter.ts
+++ b/packages/core/src/news/news_rate_limiter.ts
@@ -13,13 +13,18 @@
     this.#maxPerSecond = maxPerSecond;
   }
 
-  /** Returns how many of `wanted` updates may be sent now, and counts them. */
-  take(wanted: number, now: number): number {
+  /**
+   * Returns how many of `requested` updates may be sent now, and counts them.
+   */
+  take(requested: number, now: number): number {
     if (now - this.#windowStartedAt >= WINDOW_MILLISECONDS) {
       this.#windowStartedAt = now;
       this.#sentInWindow = 0;
     }
-    const granted = Math.min(wanted, this.#maxPerSecond - this.#sentInWindow);
+    const granted = Math.min(
+      requested,
+      this.#maxPerSecond - this.#sentInWindow,
+    );
     this.#sentInWindow += granted;
     return granted;
   }
--- a/packages/core/src/rollout/load_permits.ts
+++ b/packages/core/src/rollout/load_permits.ts
@@ -1,7 +1,7 @@
 type Options = {
   /** Share of the hosts that may stop serving to load at once, 0 to 1. */
   maxLoadingShare: number;
-  /** Time after which a turn that was not ended expires. */
+  /** Time after which a permit that was not released expires. */
   permitTimeoutMilliseconds: number;
 };
 
@@ -10,8 +10,8 @@
 /**
  * Decides which hosts of a data centre may stop serving to load a new version,
  * so that most of its engines serve at all times. An engine that serves nothing
- * gets a turn at once. The turns are soft state: a control host that takes over
- * starts without them and at worst lets some more engines load at once.
+ * gets a permit at once. The permits are soft state: a control host that takes
+ * over starts without them and at worst lets some more engines load at once.
  */
 export class LoadPermits {
   #options: Options;
@@ -22,7 +22,7 @@
   }
 
   /**
-   * Gives `host` a turn if the limit allows one, and returns whether it has
+   * Gives `host` a permit if the limit allows one, and returns whether it has
    * one now. `hosts` is the number of hosts in its data centre.
    */
   tryAcquire(
--- a/packages/core/src/rollout/rollout_rules_test.ts
+++ b/packages/core/src/rollout/rollout_rules_test.ts
@@ -36,7 +36,7 @@
   assert.equal(permits.tryAcquire("c", view), true);
 });
 
-test("a turn that is not ended expires", () => {
+test("a permit that is not released expires", () => {
   const permits = new LoadPermits({
     maxLoadingShare: 0.4,
     permitTimeoutMilliseconds: 8_000,
@@ -60,7 +60,7 @@
   assert.ok(givenUpAt <= boundMilliseconds, `${givenUpAt}`);
 });
 
-test("an engine needs no turn once gateways stop using its weights", () => {
+test("an engine needs no permit once gateways stop using its weights", () => {
   // Guards against idle engines, and against engines that stop too early.
   const { namingDelayMilliseconds, requestStartMilliseconds } = weightsMargins;
   const lastSent = 8_000 - namingDelayMilliseconds - requestStartMilliseconds;
--- a/packages/core/src/routing/backend_server_table.ts
+++ b/packages/core/src/routing/backend_server_table.ts
@@ -26,7 +26,7 @@
     return this.all().filter((row) => row.service === service);
   }
 
-  /** Whether the agent has been heard from within the timeout. */
+  /** Whether a message from the agent arrived within the timeout. */
   isLive(row: BackendServerRow, now: number): boolean {
     return now - row.heardAt < HEARTBEAT_TIMEOUT_MILLISECONDS;
   }
--- a/packages/core/src/spread/source_faults.ts
+++ b/packages/core/src/spread/source_faults.ts
@@ -15,7 +15,7 @@
  * damaged chunks. A failure at one host may be caused by that host's own link,
  * so only that host avoids the source. Once a second host reports a failure,
  * the source is quarantined for all hosts; otherwise each of them would wait
- * for its own timeout in turn.
+ * for its own timeout, one after the other.
  */
 export class SourceFaults {
   #reportsBySource = new Map<string, FailureReports>();
--- a/packages/core/src/spread/spread_table_test.ts
+++ b/packages/core/src/spread/spread_table_test.ts
@@ -86,7 +86,7 @@
 });
 
 // Each host's uplink carries what another host's downlink takes, and a little
-// less wherever two hosts want the same. The origin's link, which is idle once
+// less wherever two hosts need the same. The origin's link, which is idle once
 // every chunk has left the origin, makes up for the difference.
 test("in haste the origin helps only once hosts hold all chunks", () => {
   const fromOrigin = (objective: SpreadObjective, heldChunks: number) => {
--- a/packages/daemon/src/agent/agent_app.ts
+++ b/packages/daemon/src/agent/agent_app.ts
@@ -155,7 +155,7 @@
         this.#createChunkReport(address, change)
       );
     });
-    this.#loader.permitWanted$.subscribe((request) => {
+    this.#loader.permitRequested$.subscribe((request) => {
       const address = this.#links.anyConnectedAddress;
       if (address === undefined) return;
       this.#links.send(address, { case: "permitRequest", value: request });
--- a/packages/daemon/src/agent/backend_rate_limiter.ts
+++ b/packages/daemon/src/agent/backend_rate_limiter.ts
@@ -9,17 +9,19 @@
 
 /** Enforces the requests per second that a backend server says it accepts. */
 export class BackendRateLimiter {
-  #part: LimitPartBucket | undefined;
+  #bucket: LimitPartBucket | undefined;
 
   /** To be called with each answer; undefined if the answer names no limit. */
   setLimit(perSecond: number | undefined): void {
-    if (perSecond === undefined) this.#part = undefined;
-    else if (this.#part !== undefined) this.#part.perSecond = perSecond;
-    else {this.#part = new LimitPartBucket(
+    if (perSecond === undefined) this.#bucket = undefined;
+    else if (this.#bucket !== undefined) this.#bucket.perSecond = perSecond;
+    else {
+      this.#bucket = new LimitPartBucket(
         perSecond,
         monotonicMilliseconds(),
         Math.random,
-      );}
+      );
+    }
   }
 
   /**
@@ -30,19 +32,19 @@
    */
   admit(): number {
     const now = monotonicMilliseconds();
-    const part = this.#part;
-    if (part === undefined) return 0;
-    part.assignPart(WHOLE_LIMIT, now);
-    part.recordDemand(now);
-    if (!part.admit(now)) {
-      return Math.max(1, part.millisecondsUntilCapacity(now));
+    const bucket = this.#bucket;
+    if (bucket === undefined) return 0;
+    bucket.assignPart(WHOLE_LIMIT, now);
+    bucket.recordDemand(now);
+    if (!bucket.admit(now)) {
+      return Math.max(1, bucket.millisecondsUntilCapacity(now));
     }
-    part.take(now);
+    bucket.take(now);
     return 0;
   }
 
   /** Discards the limit, as the backend server that named it has ended. */
   reset(): void {
-    this.#part = undefined;
+    this.#bucket = undefined;
   }
 }
--- a/packages/daemon/src/agent/engine_loader.ts
+++ b/packages/daemon/src/agent/engine_loader.ts
@@ -42,7 +42,7 @@
  */
 export class EngineLoader {
   /** Requests for a permit to stop serving; repeated until one is granted. */
-  readonly permitWanted$ = new Subject<
+  readonly permitRequested$ = new Subject<
     { version: string; wasServing: boolean }
   >();
   /** Emits the result of each load. */
@@ -144,7 +144,7 @@
     ) return;
     this.#permitRequestedAt = Date.now();
     const wasServing = this.#options.state.servingVersion !== "";
-    this.permitWanted$.next({ version: this.#target, wasServing });
+    this.permitRequested$.next({ version: this.#target, wasServing });
   }
 
   async #load(permit: Permit): Promise<void> {
--- a/packages/daemon/src/control/control_host.ts
+++ b/packages/daemon/src/control/control_host.ts
@@ -180,7 +180,7 @@
     return {
       kind: "committed",
       index,
-      answer: { accepted: true },
+      result: { accepted: true },
       inForce: true,
       hostsWithoutLease: [],
     };
@@ -242,7 +242,7 @@
       return;
     }
     const command = JSON.parse(new TextDecoder().decode(entry.data)) as Command;
-    const answer = applyCommand(this.#state, command, entry.index);
+    const result = applyCommand(this.#state, command, entry.index);
     if (command.kind === "replace-routing" || command.kind === "name-weights") {
       this.configurationChanged$.next();
     }
@@ -258,7 +258,7 @@
     proposal?.resolve({
       kind: "committed",
       index: entry.index,
-      answer,
+      result,
       inForce: false,
       hostsWithoutLease: [],
     });
--- a/packages/daemon/src/control/control_routes.ts
+++ b/packages/daemon/src/control/control_routes.ts
@@ -19,7 +19,7 @@
   membership: () => Membership | undefined;
   control: () => ControlHost | undefined;
   driver: () => RaftDriver | undefined;
-  /** Called when a host introduces itself; the host may want to join. */
+  /** Called when a host introduces itself; it may be a candidate member. */
   addCandidate: (member: Member) => void;
   replaceMember: (name: string) => Promise<Result<string, string>>;
 };
--- a/packages/daemon/src/control/entry_session.ts
+++ b/packages/daemon/src/control/entry_session.ts
@@ -161,7 +161,7 @@
         number,
         outcome: WireOutcome.COMMITTED,
         index: outcome.index,
-        answer: new TextEncoder().encode(JSON.stringify(outcome.answer)),
+        answer: new TextEncoder().encode(JSON.stringify(outcome.result)),
         inForce: outcome.inForce,
         hostsWithoutLease: outcome.hostsWithoutLease,
       },
--- a/packages/daemon/src/control/limit_divider.ts
+++ b/packages/daemon/src/control/limit_divider.ts
@@ -22,8 +22,8 @@
 const EXPIRE_INTERVAL_MILLISECONDS = 10_000;
 
 /**
- * Divides the limits that overloaded backend servers named among the gateways
- * that send to them, by how much each gateway wants to send.
+ * Divides the limits that overloaded backend servers announced among the
+ * gateways that send to them, in proportion to each gateway's demand.
  */
 export class LimitDivider {
   /** Demands that gateways sent to this host, for other control hosts. */
--- a/packages/daemon/src/control/proposal_outcome.ts
+++ b/packages/daemon/src/control/proposal_outcome.ts
@@ -5,7 +5,7 @@
   | {
     kind: "committed";
     index: number;
-    answer: CommandResult;
+    result: CommandResult;
     /** Whether every entry host with a live lease has applied it. */
     inForce: boolean;
     hostsWithoutLease: string[];
--- a/packages/daemon/src/control/shared_view.ts
+++ b/packages/daemon/src/control/shared_view.ts
@@ -28,7 +28,10 @@
 const EXPIRE_INTERVAL_MILLISECONDS = 500;
 /** Half of the 400 ms between heartbeats to a follower. */
 const HEARTBEAT_CHECK_MILLISECONDS = 200;
-/** Followers hear of loads so often at most; agents look at them half as often. */
+/**
+ * Shortest interval between load updates to followers; agents look at loads
+ * half as often.
+ */
 const LOAD_BATCH_MILLISECONDS = 100;
 /** Many engines change at once while a version is loaded or after an outage. */
 const NOTICE_BATCH_MILLISECONDS = 20;
@@ -210,14 +213,14 @@
   addLocalAnnouncement(announcement: BackendAnnouncement): void {
     const changed = this.#registry.merge(announcement, monotonicMilliseconds());
     const encoded = encodeBackend(announcement);
-    // A mere sign of life can wait for the batch. A change is published before
+    // A plain heartbeat can wait for the batch. A change is published before
     // the backend server gets its answer.
     if (changed.length === 0) return this.#announcementBatcher.add(encoded);
     this.localBackends$.next([encoded]);
     this.#publishChanges(changed, "heard");
   }
 
-  /** Marks a backend server as gone that told this host it is leaving. */
+  /** Marks a backend server as gone that reported its leaving to this host. */
   removeLocalBackend(instance: string): void {
     const ended = this.#registry.markGone(instance, monotonicMilliseconds());
     if (ended.length > 0) this.localBackends$.next(ended.map(encodeBackend));
--- a/packages/daemon/src/control/shared_view_test.ts
+++ b/packages/daemon/src/control/shared_view_test.ts
@@ -30,8 +30,8 @@
 // with the latest load of every engine.
 test("followers get the latest loads of many engines in one batch", async () => {
   const view = openView();
-  const told: EngineLoad[][] = [];
-  view.loads$.subscribe((loads) => told.push(loads));
+  const published: EngineLoad[][] = [];
+  view.loads$.subscribe((loads) => published.push(loads));
   for (let running = 1; running <= 3; running += 1) {
     for (const engineAddress of ["a", "b"]) {
       view.addLocalLoad(
@@ -41,9 +41,9 @@
   }
   await pause(200);
   view.stop();
-  assert.equal(told.length, 1);
+  assert.equal(published.length, 1);
   assert.deepEqual(
-    told[0]!.map(({ engineAddress, running }) => [engineAddress, running]),
+    published[0]!.map(({ engineAddress, running }) => [engineAddress, running]),
     [["a", 3], ["b", 3]],
   );
 });
@@ -52,12 +52,12 @@
 // control host must get it too, and no load may circulate among control hosts.
 test("loads from another control host reach followers but no control host", async () => {
   const view = openView();
-  const told: string[][] = [];
-  const toldHere: string[][] = [];
+  const published: string[][] = [];
+  const publishedLocally: string[][] = [];
   const names = (loads: EngineLoad[]) =>
     loads.map(({ engineAddress }) => engineAddress);
-  view.loads$.subscribe((loads) => told.push(names(loads)));
-  view.localLoads$.subscribe((loads) => toldHere.push(names(loads)));
+  view.loads$.subscribe((loads) => published.push(names(loads)));
+  view.localLoads$.subscribe((loads) => publishedLocally.push(names(loads)));
   const load = (engineAddress: string) =>
     create(EngineLoadSchema, { engineAddress, running: 1, waiting: 0 });
   view.addLocalLoad(load("near"));
@@ -66,8 +66,8 @@
   view.addRemoteLoads([load("far")]);
   await pause(200);
   view.stop();
-  assert.deepEqual(told, [["near", "far"], ["far"]]);
-  assert.deepEqual(toldHere, [["near"]]);
+  assert.deepEqual(published, [["near", "far"], ["far"]]);
+  assert.deepEqual(publishedLocally, [["near"]]);
 });
 
 // A stager that opened a new stream ends its old one, which then reports
@@ -75,15 +75,15 @@
 // no stager.
 test("the end of a stager's earlier session does not replace a later notice", async () => {
   const view = openView();
-  const told: EngineNotice[][] = [];
-  view.engines$.subscribe((notices) => told.push(notices));
+  const published: EngineNotice[][] = [];
+  view.engines$.subscribe((notices) => published.push(notices));
   const notice = (sequence: number, agentGone: boolean) =>
     create(EngineNoticeSchema, { engineAddress: "a", sequence, agentGone });
   view.addEngineNotice(notice(1, false));
   view.addEngineNotice(notice(2, false));
   view.addEngineNotice(notice(1, true));
   await pause(100);
-  assert.deepEqual(told.map(([first]) => first?.sequence), [2]);
+  assert.deepEqual(published.map(([first]) => first?.sequence), [2]);
   assert.equal(view.engineNotices()[0]?.agentGone, false);
   view.addEngineNotice(notice(2, true));
   view.addEngineNotice(notice(1, false));
--- a/packages/daemon/src/entry/calls/unrepeatable_call.ts
+++ b/packages/daemon/src/entry/calls/unrepeatable_call.ts
@@ -110,7 +110,7 @@
     if (reply.kind === "unknown") {
       return createFailedOutcome(callProblems.unknown("claim-not-confirmed"));
     }
-    const { accepted, reason, value } = reply.answer;
+    const { accepted, reason, value } = reply.result;
     const claim = value as ClaimRow;
     // A claim that was proposed twice is refused the second time because of its
     // own first copy.
@@ -236,8 +236,8 @@
     if (reply.kind !== "committed") {
       return createFailedOutcome(callProblems.unknown("outcome-not-recorded"));
     }
-    if (!isStored && reply.answer.accepted) return { kind: "answered", answer };
-    return outcomeFromClaim(reply.answer.value as ClaimRow);
+    if (!isStored && reply.result.accepted) return { kind: "answered", answer };
+    return outcomeFromClaim(reply.result.value as ClaimRow);
   }
 
   async #recordUnknown(
@@ -254,8 +254,8 @@
       contentType: "",
       answer: "",
     }, this.#remainingMilliseconds());
-    if (reply.kind === "committed" && reply.answer.accepted) {
-      return outcomeFromClaim(reply.answer.value as ClaimRow);
+    if (reply.kind === "committed" && reply.result.accepted) {
+      return outcomeFromClaim(reply.result.value as ClaimRow);
     }
     return createFailedOutcome(callProblems.unknown(reason));
   }
@@ -274,7 +274,7 @@
     if (reply.kind !== "committed") {
       return createFailedOutcome(callProblems.unknown("outcome-not-recorded"));
     }
-    const { accepted, value } = reply.answer;
+    const { accepted, value } = reply.result;
     if (!accepted && value !== undefined) {
       return this.#resolveExistingClaim(value as ClaimRow);
     }
--- a/packages/daemon/src/entry/entry_app.ts
+++ b/packages/daemon/src/entry/entry_app.ts
@@ -214,7 +214,7 @@
   }
 
   /**
-   * Tells the leader that this host has stopped. Otherwise the leader would
+   * Informs the leader that this host has stopped. Otherwise the leader would
    * wait for the lease of a host that is gone.
    */
   async #deregister(): Promise<void> {
--- a/packages/daemon/src/entry/operators/fetch_manifest.ts
+++ b/packages/daemon/src/entry/operators/fetch_manifest.ts
@@ -22,11 +22,11 @@
     const answer = await fetch(url, {
       signal: AbortSignal.timeout(STORE_TIMEOUT_MILLISECONDS),
     });
-    if (!answer.ok) return refuse(`${url} answered ${answer.status}`);
+    if (!answer.ok) return refuse(`${url} answers ${answer.status}`);
     const checked = weightsManifestSchema.safeParse(await answer.json());
     if (!checked.success) return refuse(describeIssue(checked.error).detail);
     if (checked.data.name !== name || checked.data.version !== version) {
-      return refuse(`${url} has a manifest of another name or version`);
+      return refuse(`${url} has another name or version`);
     }
     return Result.ok(checked.data);
   } catch (error) {
--- a/packages/daemon/src/entry/operators/operator_api.ts
+++ b/packages/daemon/src/entry/operators/operator_api.ts
@@ -202,7 +202,7 @@
     const reply = await this.#options.control.propose(command);
     if (reply.kind === "not-proposed") return Result.err(NO_LEADER_PROBLEM);
     if (reply.kind === "unknown") return Result.err(UNKNOWN_OUTCOME_PROBLEM);
-    const { accepted, reason, value } = reply.answer;
+    const { accepted, reason, value } = reply.result;
     return Result.ok({
       status: accepted ? 200 : 409,
       body: {
--- a/packages/daemon/src/entry/public_server_test.ts
+++ b/packages/daemon/src/entry/public_server_test.ts
@@ -70,7 +70,7 @@
 test("after the server stops listening, a keep-alive connection's next call is answered", async () => {
   // A caller's pool keeps an idle connection to a host that shuts down, and the
   // next call is already on its way when the host stops listening. If the host
-  // closed the connection, the caller could not tell whether the call had run.
+  // closed the connection, the caller would not know whether the call had run.
   let ready = true;
   const server = createPublicServer(() => ready);
   const port = await findFreePort();
--- a/packages/daemon/src/entry/sessions/control_session.ts
+++ b/packages/daemon/src/entry/sessions/control_session.ts
@@ -341,7 +341,7 @@
       return {
         kind: "committed",
         index: result.index,
-        answer: JSON.parse(new TextDecoder().decode(result.answer)),
+        result: JSON.parse(new TextDecoder().decode(result.answer)),
         inForce: result.inForce,
         hostsWithoutLease: result.hostsWithoutLease,
       };
--- a/packages/daemon/src/entry/sessions/permit_queue.ts
+++ b/packages/daemon/src/entry/sessions/permit_queue.ts
@@ -93,11 +93,11 @@
       PROPOSAL_TIMEOUT_MILLISECONDS,
     );
     if (reply.kind !== "committed") return false;
-    const isRefusedForServingShare = !reply.answer.accepted &&
-      reply.answer.reason === "serving-share-would-be-broken";
+    const isRefusedForServingShare = !reply.result.accepted &&
+      reply.result.reason === "serving-share-would-be-broken";
     if (isRefusedForServingShare) return false;
     queue.splice(queue.indexOf(first), 1);
-    if (reply.answer.accepted) first.onGranted(reply.answer.value as PermitRow);
+    if (reply.result.accepted) first.onGranted(reply.result.value as PermitRow);
     return true;
   }
 }
--- a/packages/daemon/src/entry/sessions/proposal_reply.ts
+++ b/packages/daemon/src/entry/sessions/proposal_reply.ts
@@ -5,7 +5,7 @@
   | {
     kind: "committed";
     index: number;
-    answer: CommandResult;
+    result: CommandResult;
     inForce: boolean;
     hostsWithoutLease: string[];
   }
--- a/packages/daemon/src/gateway/backend_attempt.ts
+++ b/packages/daemon/src/gateway/backend_attempt.ts
@@ -32,8 +32,8 @@
   id: string;
   format: RequestFormat;
   /**
-   * Called with the metadata in an answer's headers, unless a backend server other
-   * than the one addressed sent the answer.
+   * Called with the metadata in an answer's headers, unless a backend server
+   * other than the one addressed sent the answer.
    */
   onMetadata: (metadata: AnswerMetadata) => void;
 };
--- a/packages/daemon/src/gateway/backend_pool.ts
+++ b/packages/daemon/src/gateway/backend_pool.ts
@@ -14,7 +14,7 @@
 import type { NamedLimits } from "./named_limits.ts";
 
 /**
- * Age of a load report on arrival: from an agent's reading of its engine to the
+ * Age of a load report on arrival: from an agent's query of its engine to the
  * gateway that receives it.
  */
 const LOAD_REPORT_AGE_MILLISECONDS = 100;
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Best eligible backend server that has room now; those without are passed
-   * over.
+   * Best eligible backend server whose limit admits a request now; the others
+   * are passed over.
    */
   #chooseWithinLimits(
     usable: BackendCandidate[],
@@ -140,8 +140,8 @@
     const passedOver: BackendCandidate[] = [];
     while (true) {
       const best = this.#chooseBest(remaining, query);
-      // A backend server that is ejected, silent or on trial doesn't count as
-      // one with room: rather tell the client when a limited one has room.
+      // A backend server that is ejected, silent or half-open is no substitute
+      // for a limited one: the client is rather informed when to retry.
       const isLastResort = passedOver.length > 0 && best !== undefined &&
         !best.record.isAvailable(monotonicMilliseconds());
       if (isLastResort) return undefined;
@@ -162,8 +162,8 @@
   }
 
   /**
-   * Milliseconds until one of the eligible backend servers that name a limit
-   * has room; undefined if none of them names one.
+   * Milliseconds until the limit of one of the eligible backend servers admits
+   * a request; undefined if none of them announced a limit.
    */
   millisecondsUntilCapacity(query: BackendQuery): number | undefined {
     const { namedLimits } = this.#options;
--- a/packages/daemon/src/gateway/backend_pool_test.ts
+++ b/packages/daemon/src/gateway/backend_pool_test.ts
@@ -68,8 +68,8 @@
   assert.equal(isEjected(pool), false);
 });
 
-// Guards against an attempt that is likely to fail where the client could be
-// told when to retry.
+// Guards against an attempt that is likely to fail where the client could
+// instead be informed when to retry.
 test("with the only healthy one at its limit, an ejected one is not tried", () => {
   const { pool, endedServers$ } = openPool({
     isLimited: ({ instance }: BackendAnnouncement) => instance === "one",
--- a/packages/daemon/src/gateway/control_feed.ts
+++ b/packages/daemon/src/gateway/control_feed.ts
@@ -39,7 +39,7 @@
   readonly loads$ = new Subject<EngineLoad[]>();
   /** Requests that crash the backend servers that run them. */
   readonly crashes$ = new Subject<CrashNews>();
-  /** This host's parts of the limits that backend servers name. */
+  /** This host's parts of the limits that backend servers announce. */
   readonly limits$ = new Subject<LimitNews>();
   /** Emits after every update except engine loads. */
   readonly updates$ = new Subject<void>();
@@ -49,7 +49,7 @@
   #hasBackends = false;
   #registry = new BackendRegistry({
     // Control hosts report which backend servers are gone. A gateway cut off
-    // from them goes on with those last known.
+    // from them keeps using those last known.
     silenceTimeoutMilliseconds: Infinity,
     goneRetentionMilliseconds: FORGET_MILLISECONDS,
   });
--- a/packages/daemon/src/gateway/crash_reporter.ts
+++ b/packages/daemon/src/gateway/crash_reporter.ts
@@ -19,9 +19,9 @@
 import { fingerprintCall } from "./fingerprint_call.ts";
 
 /**
- * How long the gateway waits before it decides by itself. Control hosts hear of
- * an end from all gateways and decide better; their verdict comes sooner than
- * this, unless the gateway is cut off from them.
+ * How long the gateway waits before it decides by itself. Control hosts get
+ * reports of an end from all gateways and decide better; their verdict comes
+ * sooner than this, unless the gateway is cut off from them.
  */
 const SETTLE_MILLISECONDS = 500;
 const GATHER_MILLISECONDS = 50;
--- a/packages/daemon/src/gateway/crash_watch.ts
+++ b/packages/daemon/src/gateway/crash_watch.ts
@@ -32,8 +32,9 @@
 };
 
 /**
- * Tells the end of a backend server's process from that of a connection: the
- * first interrupts all requests in flight there, the second only one.
+ * Distinguishes the end of a backend server's process from that of a
+ * connection: the first interrupts all requests in flight there, the second
+ * only one.
  */
 export class CrashWatch {
   readonly ended$ = new Subject<EndedServer>();
--- a/packages/daemon/src/gateway/named_limits.ts
+++ b/packages/daemon/src/gateway/named_limits.ts
@@ -27,11 +27,11 @@
 const END_NOTICE_MILLISECONDS = 3_000;
 /**
  * The end of a limit is remembered for this long, so that late news doesn't
- * bring the limit back.
+ * restore the limit.
  */
 const FORGET_MILLISECONDS = 60_000;
 
-type TrackedLimit = { limit: NamedLimit; part: LimitPartBucket | undefined };
+type TrackedLimit = { limit: NamedLimit; bucket: LimitPartBucket | undefined };
 
 type Options = {
   host: string;
@@ -43,8 +43,8 @@
 };
 
 /**
- * Keeps this host within its part of the limits that backend servers in need
- * name, and tells control hosts how much it would send there.
+ * Keeps this host within its part of the limits that overloaded backend servers
+ * announce, and reports its demand for these servers to control hosts.
  */
 export class NamedLimits {
   #options: Options;
@@ -86,36 +86,37 @@
 
   /** Whether the backend server has a limit now. */
   isLimited(announcement: BackendAnnouncement): boolean {
-    return this.#partOf(announcement) !== undefined;
+    return this.#bucketOf(announcement) !== undefined;
   }
 
   /**
    * Whether a request may be sent to the backend server that is best for it.
-   * Counts the request as wanted there.
+   * Counts the request as demand for that backend server.
    */
   requestAdmission(announcement: BackendAnnouncement): boolean {
-    const part = this.#partOf(announcement);
-    if (part === undefined) return true;
+    const bucket = this.#bucketOf(announcement);
+    if (bucket === undefined) return true;
     const now = monotonicMilliseconds();
-    part.recordDemand(now);
-    return part.admit(now);
+    bucket.recordDemand(now);
+    return bucket.admit(now);
   }
 
-  /** Whether the limit leaves room for a request now; counts nothing. */
+  /** Whether the limit admits a request now; counts nothing. */
   hasCapacity(announcement: BackendAnnouncement): boolean {
-    return this.#partOf(announcement)?.hasRoom(monotonicMilliseconds()) ?? true;
+    return this.#bucketOf(announcement)?.hasRoom(monotonicMilliseconds()) ??
+      true;
   }
 
   /** Counts a request that is sent to the backend server. */
   countSend(announcement: BackendAnnouncement): void {
-    this.#partOf(announcement)?.take(monotonicMilliseconds());
+    this.#bucketOf(announcement)?.take(monotonicMilliseconds());
   }
 
   /**
-   * Milliseconds until the limit leaves room for a request; 0 without a limit.
+   * Milliseconds until the limit admits a request; 0 without a limit.
    */
   millisecondsUntilCapacity(announcement: BackendAnnouncement): number {
-    return this.#partOf(announcement)?.millisecondsUntilCapacity(
+    return this.#bucketOf(announcement)?.millisecondsUntilCapacity(
       monotonicMilliseconds(),
     ) ?? 0;
   }
@@ -129,15 +130,15 @@
     announcement: BackendAnnouncement,
     to: BackendAnnouncement | undefined,
   ): void {
-    const part = this.#partOf(announcement);
-    if (part === undefined) return;
+    const bucket = this.#bucketOf(announcement);
+    if (bucket === undefined) return;
     const now = monotonicMilliseconds();
-    const { assignedAt } = part;
+    const { assignedAt } = bucket;
     this.#options.log.info("limited-server-passed-over", {
       id,
       instance: announcement.instance,
-      per_second: part.perSecond,
-      part: part.part(now).toFixed(3),
+      per_second: bucket.perSecond,
+      part: bucket.part(now).toFixed(3),
       told_milliseconds_ago: assignedAt === undefined
         ? "never"
         : Math.round(now - assignedAt),
@@ -145,37 +146,41 @@
     });
   }
 
-  #partOf(announcement: BackendAnnouncement): LimitPartBucket | undefined {
+  #bucketOf(announcement: BackendAnnouncement): LimitPartBucket | undefined {
     if (this.#tracked.size === 0) return undefined;
-    return this.#tracked.get(incarnationOf(announcement))?.part;
+    return this.#tracked.get(incarnationOf(announcement))?.bucket;
   }
 
   #applyNews({ parts }: LimitNews): void {
     const now = monotonicMilliseconds();
-    for (const told of parts) {
-      const limit = decodeLimit(told, now);
+    for (const assignment of parts) {
+      const limit = decodeLimit(assignment, now);
       const isKnown = this.#tracked.has(limit.incarnation);
       if (limit.perSecond !== undefined || isKnown) this.#record(limit, "told");
-      this.#tracked.get(limit.incarnation)?.part?.assignPart(told.part, now);
+      this.#tracked.get(limit.incarnation)?.bucket?.assignPart(
+        assignment.part,
+        now,
+      );
     }
   }
 
   /**
-   * Records what a backend server said of its limit, if nothing later is known.
+   * Records a limit that a backend server announced, unless a later one is
+   * known.
    */
   #record(limit: NamedLimit, how: "heard" | "told"): void {
     const { incarnation, perSecond, announcedAt } = limit;
     const known = this.#tracked.get(incarnation);
     if (known !== undefined && known.limit.announcedAt >= announcedAt) return;
     const isChange = known?.limit.perSecond !== perSecond;
-    const part = perSecond === undefined ? undefined : known?.part ??
+    const bucket = perSecond === undefined ? undefined : known?.bucket ??
       new LimitPartBucket(
         perSecond,
         monotonicMilliseconds(),
         this.#options.random,
       );
-    if (part !== undefined) part.perSecond = perSecond!;
-    this.#tracked.set(incarnation, { limit, part });
+    if (bucket !== undefined) bucket.perSecond = perSecond!;
+    this.#tracked.set(incarnation, { limit, bucket });
     if (!isChange) return;
     this.#options.log.info("limit-named", {
       incarnation,
@@ -195,8 +200,8 @@
    */
   #publishDemands(): void {
     const now = monotonicMilliseconds();
-    for (const [incarnation, { limit, part }] of [...this.#tracked]) {
-      const isOver = part === undefined &&
+    for (const [incarnation, { limit, bucket }] of [...this.#tracked]) {
+      const isOver = bucket === undefined &&
         now - limit.announcedAt > FORGET_MILLISECONDS;
       if (isOver) this.#tracked.delete(incarnation);
     }
@@ -205,16 +210,17 @@
       this.#timer = undefined;
       return;
     }
-    const wanted = [...this.#tracked]
-      .filter(([, { limit, part }]) =>
-        part !== undefined || now - limit.announcedAt < END_NOTICE_MILLISECONDS
+    const trackedDemands = [...this.#tracked]
+      .filter(([, { limit, bucket }]) =>
+        bucket !== undefined ||
+        now - limit.announcedAt < END_NOTICE_MILLISECONDS
       )
-      .map(([incarnation, { limit, part }]) => ({
+      .map(([incarnation, { limit, bucket }]) => ({
         key: `${incarnation} ${limit.perSecond ?? "any"}`,
-        value: part?.wantedPerSecond(now) ?? 0,
+        value: bucket?.demandPerSecond(now) ?? 0,
         limit,
       }));
-    const demands = this.#due.select(wanted, now)
+    const demands = this.#due.select(trackedDemands, now)
       .map(({ limit, value }) => ({
         ...encodeLimit(limit, now),
         host: this.#options.host,
--- a/packages/daemon/src/gateway/start_hold.ts
+++ b/packages/daemon/src/gateway/start_hold.ts
@@ -31,7 +31,7 @@
 /**
  * Holds requests that reach a gateway just after its start, until it can route
  * them. After an outage of the whole system the gateways are up a second or two
- * before the control hosts that tell them where requests go, and clients try
+ * before the control hosts that send them the routing, and clients try
  * only once or twice more: most of those refused then have used their last
  * attempt, though they could be answered a second later.
  */
--- a/packages/daemon/src/spread/link_pacer.ts
+++ b/packages/daemon/src/spread/link_pacer.ts
@@ -19,7 +19,7 @@
 
   /**
    * Reserves the link for `bytes` and returns how long the caller has to wait
-   * before it goes on, milliseconds. Callers may run ahead of the rate by up
+   * before it sends, in milliseconds. Callers may run ahead of the rate by up
    * to `MAX_LEAD_MILLISECONDS`.
    */
   reserve(bytes: number): number {
--- a/packages/daemon/src/stager/block_change_batcher_test.ts
+++ b/packages/daemon/src/stager/block_change_batcher_test.ts
@@ -19,14 +19,14 @@
     { length: 96 },
     (_, chunk) => ({ version: "m@2", added: [chunk], failed: [] }),
   );
-  const told = await batchChanges(changes);
-  assert.equal(told.added.length, 96);
+  const batch = await batchChanges(changes);
+  assert.equal(batch.added.length, 96);
 });
 
 test("chunks of a superseded version are not reported as the next version's", async () => {
-  const told = await batchChanges([
+  const batch = await batchChanges([
     { version: "m@2", added: [1], failed: [2] },
     { version: "m@3", added: [5], failed: [] },
   ]);
-  assert.deepEqual(told, { version: "m@3", added: [5], failed: [] });
+  assert.deepEqual(batch, { version: "m@3", added: [5], failed: [] });
 });
--- a/packages/daemon/src/stager/staged_loader.ts
+++ b/packages/daemon/src/stager/staged_loader.ts
@@ -201,7 +201,7 @@
    * Whether the engine may stop serving to load the target: it has a permit
    * and the missing chunks are about to arrive, or no gateway sends requests
    * to its weights any more. With a permit for a superseded version, or for
-   * one whose last chunks don't arrive, the engine goes on serving.
+   * one whose last chunks don't arrive, the engine keeps serving.
    */
   #mayStopServing(target: LoadTarget, serving: number): boolean {
     if (monotonicMilliseconds() > this.#unusedAt(target, serving)) return true;
--- a/packages/daemon/src/transport/entry_links.ts
+++ b/packages/daemon/src/transport/entry_links.ts
@@ -84,9 +84,10 @@
 };
 
 /**
- * An agent's streams to the entry hosts. Streams that end or fall silent are
- * opened again. A stager has its streams to the control hosts through this
- * class too; for it, "entry host" reads "control host".
+ * An agent's streams to the entry hosts. Streams that end, or on which no
+ * message arrives for too long, are opened again. A stager also uses this
+ * class, for its streams to the control hosts: for it, "entry host" means
+ * "control host".
  */
 export class EntryLinks {
   readonly incoming$ = new Subject<
--- a/packages/experiments/src/failures/agent_bench.ts
+++ b/packages/experiments/src/failures/agent_bench.ts
@@ -64,7 +64,7 @@
       log: new EventLog("bench", "error"),
       weightsAddress: this.agentAddress,
     });
-    this.loader.permitWanted$.subscribe(({ version }) => {
+    this.loader.permitRequested$.subscribe(({ version }) => {
       this.#token += 1;
       this.loader.receivePermit(version, this.#token);
     });
--- a/packages/experiments/src/failures/claim_steps_test.ts
+++ b/packages/experiments/src/failures/claim_steps_test.ts
@@ -47,12 +47,12 @@
     }
     if (fault === "lost-before") return Promise.resolve({ kind: "unknown" });
     this.#index += 1;
-    const answer = applyCommand(this.state, command, this.#index);
+    const result = applyCommand(this.state, command, this.#index);
     if (fault === "lost-after") return Promise.resolve({ kind: "unknown" });
     return Promise.resolve({
       kind: "committed",
       index: this.#index,
-      answer,
+      result,
       inForce: true,
       hostsWithoutLease: [],
     });
--- a/packages/experiments/src/failures/crashing_calls_test.ts
+++ b/packages/experiments/src/failures/crashing_calls_test.ts
@@ -45,12 +45,12 @@
   propose(command: Command) {
     this.#index += 1;
     const index = this.#index;
-    const answer = applyCommand(this.state, command, index);
+    const result = applyCommand(this.state, command, index);
     for (const follower of this.followers) follower.applyBlames(this.state);
     return Promise.resolve({
       kind: "committed" as const,
       index,
-      answer,
+      result,
       inForce: true,
       hostsWithoutLease: [],
     });
