--- a/packages/core/src/crashes/crash_ledger.ts
+++ b/packages/core/src/crashes/crash_ledger.ts
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Whether `decide` has to be called again: a request has sufficient evidence
-   * against it, but more reports of the same crash may still arrive.
+   * Whether `blameSuspects` has to be called again: a request has sufficient
+   * evidence against it, but more reports of the same crash may still arrive.
    */
   get hasPendingSuspects(): boolean {
     return [...this.#suspects].some(([fingerprint, { weight }]) =>
--- a/packages/core/src/named_limits/limit_part_bucket.ts
+++ b/packages/core/src/named_limits/limit_part_bucket.ts
@@ -139,13 +139,13 @@
    * there now. Remembers a rejection, which lets the host save more tokens.
    */
   admit(now: number): boolean {
-    const hasRoom = this.hasRoom(now);
-    if (!hasRoom) this.#rejectedAt = now;
-    return hasRoom;
+    const hasCapacity = this.hasCapacity(now);
+    if (!hasCapacity) this.#rejectedAt = now;
+    return hasCapacity;
   }
 
   /** Whether a request may be sent there now; records no rejection. */
-  hasRoom(now: number): boolean {
+  hasCapacity(now: number): boolean {
     this.#refill(now);
     return this.#tokens >= this.#sendThreshold;
   }
--- a/packages/core/src/named_limits/named_limits_test.ts
+++ b/packages/core/src/named_limits/named_limits_test.ts
@@ -134,8 +134,8 @@
         announcedAt: this.#now,
       };
       this.#division.recordLimit(limit, this.#now);
-      const demand = { host: host.name, perSecond };
-      this.#division.recordDemand(INCARNATION, demand, this.#now);
+      const report = { host: host.name, perSecond };
+      this.#division.recordDemand(INCARNATION, report, this.#now);
     });
   }
 
--- a/packages/daemon/src/gateway/named_limits.ts
+++ b/packages/daemon/src/gateway/named_limits.ts
@@ -103,7 +103,7 @@
 
   /** Whether the limit admits a request now; counts nothing. */
   hasCapacity(announcement: BackendAnnouncement): boolean {
-    return this.#bucketOf(announcement)?.hasRoom(monotonicMilliseconds()) ??
+    return this.#bucketOf(announcement)?.hasCapacity(monotonicMilliseconds()) ??
       true;
   }
 
