--- a/packages/core/src/consensus/election_state.ts
+++ b/packages/core/src/consensus/election_state.ts
@@ -23,10 +23,10 @@
 
 /**
  * Fraction of the election timeout after which a member that neither leads nor
- * hears from a leader repeats its pre-vote. Members that start together do not
- * become reachable at the same moment, and requests sent before that are lost:
- * with a full election timeout between pre-votes, the other members were up
- * for a second before they were asked again. A pre-vote changes no term, so
+ * gets messages from a leader repeats its pre-vote. Members that start together
+ * do not become reachable at the same moment, and requests sent before that are
+ * lost: with a full election timeout between pre-votes, the other members were
+ * up for a second before they were asked again. A pre-vote changes no term, so
  * repeating it is safe.
  */
 const PRE_VOTE_RETRY_FRACTION = 0.3;
@@ -52,7 +52,7 @@
     this.#term = options.hardState.term;
     this.#votedFor = options.hardState.votedFor;
     this.#electionAt = options.now +
-      options.electionMilliseconds * FIRST_ELECTION_TIMEOUT_FRACTION *
+      options.electionTimeoutMilliseconds * FIRST_ELECTION_TIMEOUT_FRACTION *
         (1 + options.random());
   }
 
@@ -72,16 +72,17 @@
   }
 
   /**
-   * Restarts the election timer: a leader was heard, a vote was granted, or
-   * an election began.
+   * Restarts the election timer: a leader's message arrived, a vote was
+   * granted, or an election began.
    */
   resetElectionTimer(now: number): void {
-    const span = this.#options.electionMilliseconds;
+    const span = this.#options.electionTimeoutMilliseconds;
     this.#electionAt = now + span * (1 + this.#options.random());
   }
 
   #nextPreVoteAt(now: number): number {
-    const span = this.#options.electionMilliseconds * PRE_VOTE_RETRY_FRACTION;
+    const span = this.#options.electionTimeoutMilliseconds *
+      PRE_VOTE_RETRY_FRACTION;
     return now + span * (1 + this.#options.random());
   }
 
--- a/packages/core/src/gateway/decide_placement_test.ts
+++ b/packages/core/src/gateway/decide_placement_test.ts
@@ -24,7 +24,7 @@
 /** Interval of arrivals that use seven tenths of 16 slots of 1.3 s each. */
 const ARRIVAL_INTERVAL_MILLISECONDS = 116;
 
-const STANDING = {
+const ANNOUNCEMENT = {
   instance: "i",
   service: "s",
   address: "10.0.0.1:80",
@@ -58,7 +58,7 @@
       if (running[at]!.endsAt > now) continue;
       running.splice(at, 1);
       record.inFlight -= 1;
-      record.noteHold(HOLD_MILLISECONDS);
+      record.recordSlotHoldTime(HOLD_MILLISECONDS);
     }
     while (running.length < ENGINE.slots && queue.length > 0) {
       const timely = queue.findIndex(({ placement }) => placement === "timely");
@@ -66,9 +66,9 @@
       const next = queue.splice(at, 1)[0]!;
       running.push({ endsAt: now + HOLD_MILLISECONDS });
       begun.push({ at: next.at, waited: now - next.at });
-      if (next.placement === "timely") record.timelyUnread -= 1;
+      if (next.placement === "timely") record.timelyUnanswered -= 1;
       const load = { running: running.length, waiting: queue.length };
-      record.takeReport({ ...load, slots: ENGINE.slots }, now);
+      record.recordReport({ ...load, slots: ENGINE.slots }, now);
     }
   };
   const last = arrivals.at(-1)! + 10_000;
@@ -78,7 +78,7 @@
     while (next < arrivals.length && arrivals[next]! <= now) {
       next += 1;
       const { kind: placement, forecast } = decidePlacement({
-        standing: STANDING,
+        announcement: ANNOUNCEMENT,
         record,
       }, {
         engine: ENGINE,
@@ -87,12 +87,12 @@
         slotPressure: pressure.share,
         now,
       });
-      pressure.note(forecast!.requests >= ENGINE.slots);
+      pressure.recordRequest(forecast!.requests >= ENGINE.slots);
       if (servesTimelyFirst && placement === "refused") {
         refused += 1;
         continue;
       }
-      if (placement === "timely") record.timelyUnread += 1;
+      if (placement === "timely") record.timelyUnanswered += 1;
       record.inFlight += 1;
       queue.push({ at: now, placement });
       startQueued(now);
@@ -130,7 +130,7 @@
 test("late requests use spare capacity, and are refused without any", () => {
   const record = new BackendRecord();
   const place = (targetLeftMilliseconds: number, slotPressure = 0) =>
-    decidePlacement({ standing: STANDING, record }, {
+    decidePlacement({ announcement: ANNOUNCEMENT, record }, {
       engine: ENGINE,
       promptTokens: 960,
       targetLeftMilliseconds,
@@ -140,9 +140,9 @@
   assert.equal(place(400), "timely");
   assert.equal(place(-500), "late", "it spent its time on an earlier try");
   record.inFlight = ENGINE.slots + 9;
-  record.timelyUnread = 9;
+  record.timelyUnanswered = 9;
   assert.equal(place(400), "refused");
-  record.timelyUnread = 1;
+  record.timelyUnanswered = 1;
   assert.equal(place(400), "timely", "those that wait are late: it goes ahead");
   assert.equal(place(-500), "refused");
 });
@@ -151,7 +151,7 @@
   const record = new BackendRecord();
   record.inFlight = ENGINE.slots + 2;
   const place = (slotPressure: number) =>
-    decidePlacement({ standing: STANDING, record }, {
+    decidePlacement({ announcement: ANNOUNCEMENT, record }, {
       engine: ENGINE,
       promptTokens: 960,
       targetLeftMilliseconds: -500,
--- a/packages/core/src/named_limits/limit_division.ts
+++ b/packages/core/src/named_limits/limit_division.ts
@@ -22,9 +22,9 @@
  * among the hosts that send to them, in proportion to each host's demand.
  *
  * A backend server that announces a limit is soon the least loaded one, so
- * every host wants to send requests to it. Each host keeps to its part of the
- * limit without coordinating with the other hosts. With a limit of one request
- * a second and many hosts, the parts are fractions of a request, so a host
+ * every host has demand for it. Each host keeps to its part of the limit
+ * without coordinating with the other hosts. With a limit of one request a
+ * second and many hosts, the parts are fractions of a request, so a host
  * without traffic must not hold one.
  */
 export class LimitDivision {
@@ -34,10 +34,15 @@
     return this.#entries.size === 0;
   }
 
-  /** Whether it says something later than what is known. */
-  name(limit: NamedLimit, now: number): boolean {
+  /**
+   * Records a limit. Returns whether it is new or its rate differs from the
+   * known one; a limit announced no later than the known one is ignored.
+   */
+  recordLimit(limit: NamedLimit, now: number): boolean {
     const known = this.#entries.get(limit.incarnation);
-    if (known !== undefined && known.limit.saidAt >= limit.saidAt) return false;
+    if (known !== undefined && known.limit.announcedAt >= limit.announcedAt) {
+      return false;
+    }
     const entry = known ?? this.#createEntry(limit, now);
     const isNews = entry.limit.perSecond !== limit.perSecond ||
       known === undefined;
@@ -47,7 +52,7 @@
   }
 
   /** Records a host's demand for a backend server that announced a limit. */
-  want(
+  recordDemand(
     incarnation: string,
     demand: { host: string; perSecond: number },
     now: number,
@@ -63,7 +68,10 @@
   }
 
   /** The host's part of each limit, from 0 to 1; 0 without recent demand. */
-  partsOf(host: string, now: number): { limit: NamedLimit; part: number }[] {
+  computeParts(
+    host: string,
+    now: number,
+  ): { limit: NamedLimit; part: number }[] {
     return [...this.#entries.values()].map(({ limit, demands }) => {
       const live = [...demands.entries()].filter(([, { at }]) =>
         now - at <= DEMAND_TIMEOUT_MILLISECONDS
@@ -77,7 +85,9 @@
   }
 
   /** Recent demand of all hosts, for another control host that also divides. */
-  all(now: number): { limit: NamedLimit; host: string; perSecond: number }[] {
+  listDemands(
+    now: number,
+  ): { limit: NamedLimit; host: string; perSecond: number }[] {
     return [...this.#entries.values()].flatMap(({ limit, demands }) =>
       [...demands]
         .filter(([, { at }]) => now - at <= DEMAND_TIMEOUT_MILLISECONDS)
--- a/packages/core/src/named_limits/limit_part.ts
+++ b/packages/core/src/named_limits/limit_part_bucket.ts
@@ -3,13 +3,13 @@
  * takes to reach every host.
  */
 const GROWTH_DELAY_MILLISECONDS = 1_000;
-/** A host told no part for this long is assumed cut off from all others. */
+/** A host assigned no part for this long is assumed cut off from all others. */
 const ASSIGNMENT_TIMEOUT_MILLISECONDS = 2_000;
-/** Fraction of its part that a host goes on using while it is cut off. */
+/** Fraction of its part that a host keeps using while it is cut off. */
 const DISCONNECTED_FACTOR = 0.5;
 /**
- * Used until the host is told its part: eight such hosts together keep to the
- * limit.
+ * Used until the host is assigned its part: eight such hosts together keep to
+ * the limit.
  */
 const DEFAULT_PART = 0.125;
 /**
@@ -51,17 +51,17 @@
  * second. If every host could save up a whole request, as many requests as
  * there are hosts would be sent as soon as traffic reaches all of them.
  * Therefore a host sends a request once its tokens reach a random threshold,
- * drawn anew for each request, and owes the tokens missing to a whole one. And
+ * chosen anew for each request, and owes the tokens missing to a whole one. And
  * while no request is rejected, it saves only its part of a shared burst: with
  * many hosts a fraction of a request.
  */
-export class LimitPart {
+export class LimitPartBucket {
   #perSecond: number;
   #random: () => number;
   /** Tokens, in [0, 1), at which the next request may be sent. */
   #sendThreshold: number;
   #rejectedAt = -Infinity;
-  /** Tokens beyond the bucket's capacity, since the threshold was drawn. */
+  /** Tokens beyond the bucket's capacity, since the threshold was chosen. */
   #overflowTokens = 0;
   #assignments: Assignment[] = [];
   #tokens = 0;
@@ -87,7 +87,7 @@
   }
 
   /** Sets the part that a control host assigned to this host, from 0 to 1. */
-  tell(part: number, now: number): void {
+  assignPart(part: number, now: number): void {
     this.#refill(now);
     this.#assignments.push({ part, at: now });
     this.#assignments = this.#recentAssignments(now);
@@ -97,19 +97,19 @@
    * When a control host last assigned a part, monotonic milliseconds; undefined
    * if never.
    */
-  get toldAt(): number | undefined {
+  get assignedAt(): number | undefined {
     return this.#assignments.at(-1)?.at;
   }
 
-  /** Counts a request that this host would send there, admitted or not. */
-  want(now: number): void {
+  /** Adds a request for the backend server to the demand, admitted or not. */
+  recordDemand(now: number): void {
     this.#decayDemand(now);
     this.#demand.sum += 1;
     this.#lastDemandAt = now;
   }
 
-  /** Recent demand: requests a second that this host wanted to send there. */
-  wantedPerSecond(now: number): number {
+  /** Recent demand of this host for the backend server, requests per second. */
+  demandPerSecond(now: number): number {
     this.#decayDemand(now);
     const decayedRate = this.#demand.sum * 1_000 / DEMAND_DECAY_MILLISECONDS;
     const idleMilliseconds = Math.max(1, now - this.#lastDemandAt);
@@ -138,14 +138,14 @@
    * Whether a request that would best go to this backend server may be sent
    * there now. Remembers a rejection, which lets the host save more tokens.
    */
-  admits(now: number): boolean {
-    const hasRoom = this.hasRoom(now);
-    if (!hasRoom) this.#rejectedAt = now;
-    return hasRoom;
+  admit(now: number): boolean {
+    const hasCapacity = this.hasCapacity(now);
+    if (!hasCapacity) this.#rejectedAt = now;
+    return hasCapacity;
   }
 
   /** Whether a request may be sent there now; records no rejection. */
-  hasRoom(now: number): boolean {
+  hasCapacity(now: number): boolean {
     this.#refill(now);
     return this.#tokens >= this.#sendThreshold;
   }
@@ -158,7 +158,7 @@
   }
 
   /** Milliseconds from now until the next request may be sent. */
-  untilRoom(now: number): number {
+  millisecondsUntilCapacity(now: number): number {
     this.#refill(now);
     const rate = Math.max(
       this.rate(now),
--- a/packages/core/src/spread/weight_blocks.ts
+++ b/packages/core/src/spread/weight_blocks.ts
@@ -40,14 +40,14 @@
   }
 
   /** Returns the blocks of which every chunk is held. */
-  wholeIn(held: ChunkSet): number[] {
+  completeBlocks(held: ChunkSet): number[] {
     return this.#allBlocks().filter((block) =>
       this.chunksOf(block).every((chunk) => held.has(chunk))
     );
   }
 
-  missingIn(held: ChunkSet): number[] {
-    const whole = new Set(this.wholeIn(held));
+  incompleteBlocks(held: ChunkSet): number[] {
+    const whole = new Set(this.completeBlocks(held));
     return this.#allBlocks().filter((block) => !whole.has(block));
   }
 
--- a/packages/daemon/src/agent/backend_rate_limiter.ts
+++ b/packages/daemon/src/agent/backend_rate_limiter.ts
@@ -1,4 +1,4 @@
-import { LimitPart } from "@teaselrouter/core/named_limits/limit_part.ts";
+import { LimitPartBucket } from "@teaselrouter/core/named_limits/limit_part_bucket.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
 /**
@@ -9,17 +9,19 @@
 
 /** Enforces the requests per second that a backend server says it accepts. */
 export class BackendRateLimiter {
-  #part: LimitPart | undefined;
+  #bucket: LimitPartBucket | undefined;
 
   /** To be called with each answer; undefined if the answer names no limit. */
   setLimit(perSecond: number | undefined): void {
-    if (perSecond === undefined) this.#part = undefined;
-    else if (this.#part !== undefined) this.#part.perSecond = perSecond;
-    else {this.#part = new LimitPart(
+    if (perSecond === undefined) this.#bucket = undefined;
+    else if (this.#bucket !== undefined) this.#bucket.perSecond = perSecond;
+    else {
+      this.#bucket = new LimitPartBucket(
         perSecond,
         monotonicMilliseconds(),
         Math.random,
-      );}
+      );
+    }
   }
 
   /**
@@ -30,17 +32,19 @@
    */
   admit(): number {
     const now = monotonicMilliseconds();
-    const part = this.#part;
-    if (part === undefined) return 0;
-    part.tell(WHOLE_LIMIT, now);
-    part.want(now);
-    if (!part.admits(now)) return Math.max(1, part.untilRoom(now));
-    part.take(now);
+    const bucket = this.#bucket;
+    if (bucket === undefined) return 0;
+    bucket.assignPart(WHOLE_LIMIT, now);
+    bucket.recordDemand(now);
+    if (!bucket.admit(now)) {
+      return Math.max(1, bucket.millisecondsUntilCapacity(now));
+    }
+    bucket.take(now);
     return 0;
   }
 
   /** Discards the limit, as the backend server that named it has ended. */
   reset(): void {
-    this.#part = undefined;
+    this.#bucket = undefined;
   }
 }
--- a/packages/daemon/src/control/control_routes.ts
+++ b/packages/daemon/src/control/control_routes.ts
@@ -14,12 +14,12 @@
 
 type Options = {
   self: Member;
-  ring: TimelineRing;
+  timeline: TimelineRing;
   /** Undefined until the initial members are known. */
   membership: () => Membership | undefined;
   control: () => ControlHost | undefined;
   driver: () => RaftDriver | undefined;
-  /** Called when a host introduces itself; the host may want to join. */
+  /** Called when a host introduces itself; it may be a candidate member. */
   addCandidate: (member: Member) => void;
   replaceMember: (name: string) => Promise<Result<string, string>>;
 };
@@ -55,7 +55,7 @@
         if (control === undefined) return;
         const session = new EntrySession({
           control,
-          ring: options.ring,
+          timeline: options.timeline,
           leaderAddress: () => control.leaderAddress,
         });
         const reading = (async () => {
--- a/packages/daemon/src/control/shared_view.ts
+++ b/packages/daemon/src/control/shared_view.ts
@@ -1,6 +1,6 @@
-import { blameOfRow } from "@teaselrouter/core/crashes/blame_of_row.ts";
+import { blameFromRow } from "@teaselrouter/core/crashes/blame_from_row.ts";
 import { BackendRegistry } from "@teaselrouter/core/membership/backend_registry.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import { NamedVersions } from "@teaselrouter/core/rollout/named_versions.ts";
 import type { ControlState } from "@teaselrouter/core/state/control_state.ts";
 import type {
@@ -28,12 +28,15 @@
 const EXPIRE_INTERVAL_MILLISECONDS = 500;
 /** Half of the 400 ms between heartbeats to a follower. */
 const HEARTBEAT_CHECK_MILLISECONDS = 200;
-/** Followers hear of loads so often at most; agents look at them half as often. */
+/**
+ * Shortest interval between load updates to followers; agents look at loads
+ * half as often.
+ */
 const LOAD_BATCH_MILLISECONDS = 100;
 /** Many engines change at once while a version is loaded or after an outage. */
 const NOTICE_BATCH_MILLISECONDS = 20;
 /** A fraction of the 6 s of silence after which a backend server is gone. */
-const STANDING_BATCH_MILLISECONDS = 200;
+const ANNOUNCEMENT_BATCH_MILLISECONDS = 200;
 
 type Options = {
   log: EventLog;
@@ -53,11 +56,11 @@
  * host itself ("local"), so that these don't circulate among control hosts.
  */
 export class SharedView {
-  /** Backend servers whose standing changed in a way that affects routing. */
+  /** Announcements that changed in a field that affects routing. */
   readonly changed$ = new Subject<Backend[]>();
   /**
-   * Standings that backend servers sent to this host. Mere signs of life are
-   * batched.
+   * Announcements that backend servers sent to this host. Those that change
+   * nothing for routing are batched.
    */
   readonly localBackends$ = new Subject<Backend[]>();
   /** Emits when the replicated state changed. */
@@ -76,8 +79,8 @@
   readonly limits = new LimitDivider();
   #options: Options;
   #registry = new BackendRegistry({
-    silentMilliseconds: SILENCE_TIMEOUT_MILLISECONDS,
-    forgetMilliseconds: END_RETENTION_MILLISECONDS,
+    silenceTimeoutMilliseconds: SILENCE_TIMEOUT_MILLISECONDS,
+    goneRetentionMilliseconds: END_RETENTION_MILLISECONDS,
   });
   /**
    * Weight versions that this process saw named, and those current when it
@@ -88,8 +91,8 @@
   #noticeBatcher = batchByEngine<EngineNotice>(NOTICE_BATCH_MILLISECONDS);
   #loadBatcher = batchByEngine<EngineLoad>(LOAD_BATCH_MILLISECONDS);
   #localLoadBatcher = batchByEngine<EngineLoad>(LOAD_BATCH_MILLISECONDS);
-  #standingBatcher = new LatestValueBatcher<Backend>({
-    milliseconds: STANDING_BATCH_MILLISECONDS,
+  #announcementBatcher = new LatestValueBatcher<Backend>({
+    milliseconds: ANNOUNCEMENT_BATCH_MILLISECONDS,
     keyOf: ({ instance }) => instance,
   });
   #timer: NodeJS.Timeout;
@@ -101,7 +104,7 @@
       () => this.#expire(),
       EXPIRE_INTERVAL_MILLISECONDS,
     );
-    this.#standingBatcher.batches$.subscribe(this.localBackends$);
+    this.#announcementBatcher.batches$.subscribe(this.localBackends$);
   }
 
   stop(): void {
@@ -113,7 +116,7 @@
         this.#noticeBatcher,
         this.#loadBatcher,
         this.#localLoadBatcher,
-        this.#standingBatcher,
+        this.#announcementBatcher,
       ]
     ) batcher.stop();
   }
@@ -175,14 +178,14 @@
         .filter(({ at }) => timeOfDay - at < SUSPICION_RETENTION_MILLISECONDS),
     );
     this.crashes.restoreBlames(
-      rows.map((row) => blameOfRow(row, { timeOfDay, monotonic }))
+      rows.map((row) => blameFromRow(row, { timeOfDay, monotonic }))
         .filter(({ endsAt }) => endsAt > monotonic),
     );
   }
 
   ageOfWeights(model: string, version: number): number {
     const now = monotonicMilliseconds();
-    return now - (this.#namedVersions.namedAt(model, version) ?? now);
+    return now - (this.#namedVersions.findNamedAt(model, version) ?? now);
   }
 
   /** All known versions of a model, with the time since each was named. */
@@ -206,29 +209,32 @@
     return [...this.#notices.values()];
   }
 
-  /** Adds a standing that a backend server sent to this host. */
-  addLocalStanding(standing: BackendStanding): void {
-    const changed = this.#registry.take(standing, monotonicMilliseconds());
-    const encoded = encodeBackend(standing);
-    // A mere sign of life can wait for the batch. A change is published before
+  /** Adds an announcement that a backend server sent to this host. */
+  addLocalAnnouncement(announcement: BackendAnnouncement): void {
+    const changed = this.#registry.merge(announcement, monotonicMilliseconds());
+    const encoded = encodeBackend(announcement);
+    // A plain heartbeat can wait for the batch. A change is published before
     // the backend server gets its answer.
-    if (changed.length === 0) return this.#standingBatcher.add(encoded);
+    if (changed.length === 0) return this.#announcementBatcher.add(encoded);
     this.localBackends$.next([encoded]);
     this.#publishChanges(changed, "heard");
   }
 
-  /** Marks a backend server as gone that told this host it is leaving. */
+  /** Marks a backend server as gone that reported its leaving to this host. */
   removeLocalBackend(instance: string): void {
-    const ended = this.#registry.leave(instance, monotonicMilliseconds());
+    const ended = this.#registry.markGone(instance, monotonicMilliseconds());
     if (ended.length > 0) this.localBackends$.next(ended.map(encodeBackend));
     this.#publishChanges(ended, "heard");
   }
 
-  /** Adds standings that another control host received. */
-  addRemoteStandings(standings: BackendStanding[]): void {
+  /** Adds announcements that another control host received. */
+  addRemoteAnnouncements(announcements: BackendAnnouncement[]): void {
     const now = monotonicMilliseconds();
-    for (const standing of standings) {
-      this.#publishChanges(this.#registry.take(standing, now), "passed-on");
+    for (const announcement of announcements) {
+      this.#publishChanges(
+        this.#registry.merge(announcement, now),
+        "passed-on",
+      );
     }
   }
 
@@ -263,16 +269,16 @@
     );
   }
 
-  #publishChanges(changed: BackendStanding[], how: string): void {
+  #publishChanges(changed: BackendAnnouncement[], how: string): void {
     if (changed.length === 0) return;
-    for (const standing of changed) {
+    for (const announcement of changed) {
       this.#options.log.info("backend-server-changed", {
-        instance: standing.instance,
-        address: standing.address,
-        service: standing.service,
-        state: standing.state,
-        sequence: standing.sequence,
-        models: standing.models.map(({ name, version }) =>
+        instance: announcement.instance,
+        address: announcement.address,
+        service: announcement.service,
+        state: announcement.state,
+        sequence: announcement.sequence,
+        models: announcement.models.map(({ name, version }) =>
           `${name}@${version}`
         ).join(",") || "none",
         how,
--- a/packages/daemon/src/gateway/backend_pool.ts
+++ b/packages/daemon/src/gateway/backend_pool.ts
@@ -1,12 +1,12 @@
-import type { BackendChoice } from "@teaselrouter/core/gateway/backend_choice.ts";
+import type { BackendCandidate } from "@teaselrouter/core/gateway/backend_candidate.ts";
 import { BackendRecord } from "@teaselrouter/core/gateway/backend_record.ts";
 import { chooseBackend } from "@teaselrouter/core/gateway/choose_backend.ts";
-import { noteUsualLoad } from "@teaselrouter/core/gateway/note_usual_load.ts";
+import { updateAssumedLoad } from "@teaselrouter/core/gateway/update_assumed_load.ts";
 import type { EngineDefinition } from "@teaselrouter/core/gateway/engine_definition.ts";
 import { pickHomeBackends } from "@teaselrouter/core/gateway/pick_home_backends.ts";
 import { SlotPressure } from "@teaselrouter/core/gateway/slot_pressure.ts";
 import { weightsMargins } from "@teaselrouter/core/rollout/weights_margins.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import type { EngineLoad } from "@teaselrouter/messages/follow.ts";
 import type { Observable } from "rxjs";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
@@ -14,7 +14,7 @@
 import type { NamedLimits } from "./named_limits.ts";
 
 /**
- * Age of a load report on arrival: from an agent's reading of its engine to the
+ * Age of a load report on arrival: from an agent's query of its engine to the
  * gateway that receives it.
  */
 const LOAD_REPORT_AGE_MILLISECONDS = 100;
@@ -36,7 +36,7 @@
 
 type HomeSelection = {
   /** Backend servers that `home` was picked from. */
-  standings: readonly BackendStanding[];
+  announcements: readonly BackendAnnouncement[];
   home: ReadonlySet<string>;
 };
 
@@ -52,7 +52,7 @@
   weightsBoundMilliseconds: number;
   namedLimits: NamedLimits;
   /** Emits backend servers whose process was found to have ended. */
-  endedServers$: Observable<BackendStanding>;
+  endedServers$: Observable<BackendAnnouncement>;
 };
 
 /** Chooses among the backend servers and keeps a record of each. */
@@ -70,16 +70,18 @@
   constructor(options: Options) {
     this.#options = options;
     options.feed.backends$.subscribe((changed) => {
-      for (const standing of changed) this.#resetIfRestarted(standing);
+      for (const announcement of changed) this.#resetIfRestarted(announcement);
     });
-    options.endedServers$.subscribe((standing) => this.#ejectEnded(standing));
+    options.endedServers$.subscribe((announcement) =>
+      this.#ejectEnded(announcement)
+    );
     options.feed.loads$.subscribe((loads) => this.#applyLoads(loads));
   }
 
   /**
    * Drops the record of an instance that is gone or was restarted under its id.
    */
-  #resetIfRestarted({ instance, state, bornAt }: BackendStanding): void {
+  #resetIfRestarted({ instance, state, bornAt }: BackendAnnouncement): void {
     const known = this.#bornAt.get(instance);
     const isNewStart = known !== undefined && known !== bornAt;
     if (state === "gone" || isNewStart) this.#records.delete(instance);
@@ -91,9 +93,9 @@
    * Ejects a backend server at once when its process has ended: its missing
    * heartbeats show only seconds later.
    */
-  #ejectEnded({ instance, bornAt }: BackendStanding): void {
+  #ejectEnded({ instance, bornAt }: BackendAnnouncement): void {
     if (this.#bornAt.get(instance) !== bornAt) return;
-    this.recordOf(instance).leaveAside(monotonicMilliseconds());
+    this.recordOf(instance).eject(monotonicMilliseconds());
   }
 
   recordOf(instance: string): BackendRecord {
@@ -116,76 +118,78 @@
   }
 
   /** Best eligible backend server for a request; undefined if there is none. */
-  choose(query: BackendQuery): BackendChoice | undefined {
+  choose(query: BackendQuery): BackendCandidate | undefined {
     const usable = this.#findUsable(query);
-    noteUsualLoad(usable, monotonicMilliseconds());
+    updateAssumedLoad(usable, monotonicMilliseconds());
     const best = this.#chooseBest(usable, query);
     const isLimited = best !== undefined &&
-      this.#options.namedLimits.isLimited(best.standing);
+      this.#options.namedLimits.isLimited(best.announcement);
     return isLimited ? this.#chooseWithinLimits(usable, query) : best;
   }
 
   /**
-   * Best eligible backend server that has room now; those without are passed
-   * over.
+   * Best eligible backend server whose limit admits a request now; the others
+   * are passed over.
    */
   #chooseWithinLimits(
-    usable: BackendChoice[],
+    usable: BackendCandidate[],
     query: BackendQuery,
-  ): BackendChoice | undefined {
+  ): BackendCandidate | undefined {
     const { namedLimits } = this.#options;
     let remaining = usable;
-    const passedOver: BackendChoice[] = [];
+    const passedOver: BackendCandidate[] = [];
     while (true) {
       const best = this.#chooseBest(remaining, query);
-      // A backend server that is ejected, silent or on trial doesn't count as
-      // one with room: rather tell the client when a limited one has room.
+      // A backend server that is ejected, silent or half-open is no substitute
+      // for a limited one: the client is rather informed when to retry.
       const isLastResort = passedOver.length > 0 && best !== undefined &&
-        !best.record.isPromising(monotonicMilliseconds());
+        !best.record.isAvailable(monotonicMilliseconds());
       if (isLastResort) return undefined;
       const isAdmitted = best === undefined ||
         (query.willSend
-          ? namedLimits.requestAdmission(best.standing)
-          : namedLimits.hasCapacity(best.standing));
+          ? namedLimits.requestAdmission(best.announcement)
+          : namedLimits.hasCapacity(best.announcement));
       if (isAdmitted) {
         if (!query.willSend) return best;
-        for (const { standing } of passedOver) {
-          namedLimits.logPassedOver(query.id, standing, best?.standing);
+        for (const { announcement } of passedOver) {
+          namedLimits.logPassedOver(query.id, announcement, best?.announcement);
         }
         return best;
       }
       passedOver.push(best);
-      remaining = remaining.filter((choice) => choice !== best);
+      remaining = remaining.filter((candidate) => candidate !== best);
     }
   }
 
   /**
-   * Milliseconds until one of the eligible backend servers that name a limit
-   * has room; undefined if none of them names one.
+   * Milliseconds until the limit of one of the eligible backend servers admits
+   * a request; undefined if none of them announced a limit.
    */
   millisecondsUntilCapacity(query: BackendQuery): number | undefined {
     const { namedLimits } = this.#options;
     const waits = this.#findUsable(query)
-      .filter(({ standing }) => namedLimits.isLimited(standing))
-      .map(({ standing }) => namedLimits.millisecondsUntilCapacity(standing));
+      .filter(({ announcement }) => namedLimits.isLimited(announcement))
+      .map(({ announcement }) =>
+        namedLimits.millisecondsUntilCapacity(announcement)
+      );
     return waits.length === 0 ? undefined : Math.min(...waits);
   }
 
-  #findUsable(query: BackendQuery): BackendChoice[] {
+  #findUsable(query: BackendQuery): BackendCandidate[] {
     return this.#options.feed.backendsOf(query.service)
-      .filter((standing) => this.#isEligible(standing, query))
-      .map((standing) => ({
-        standing,
-        record: this.recordOf(standing.instance),
+      .filter((announcement) => this.#isEligible(announcement, query))
+      .map((announcement) => ({
+        announcement,
+        record: this.recordOf(announcement.instance),
       }));
   }
 
   #chooseBest(
-    usable: BackendChoice[],
+    usable: BackendCandidate[],
     query: BackendQuery,
-  ): BackendChoice | undefined {
+  ): BackendCandidate | undefined {
     const now = monotonicMilliseconds();
-    const healthy = usable.filter(({ record }) => record.isPromising(now));
+    const healthy = usable.filter(({ record }) => record.isAvailable(now));
     // With all of them ejected, as when a service has three and a fault hits
     // their zone, an attempt that may fail is better than a certain refusal.
     return chooseBackend(healthy.length > 0 ? healthy : usable, {
@@ -203,33 +207,39 @@
    * backend servers have changed.
    */
   #homeOf(service: string): ReadonlySet<string> {
-    const standings = this.#options.feed.backendsOf(service);
+    const announcements = this.#options.feed.backendsOf(service);
     const known = this.#homes.get(service);
-    if (known?.standings === standings) return known.home;
-    const home = pickHomeBackends(standings, this.#options);
-    this.#homes.set(service, { standings, home });
+    if (known?.announcements === announcements) return known.home;
+    const home = pickHomeBackends(announcements, this.#options);
+    this.#homes.set(service, { announcements, home });
     return home;
   }
 
   #applyLoads(loads: EngineLoad[]): void {
     const now = monotonicMilliseconds();
     for (const { engineAddress, running, waiting } of loads) {
-      const standing = this.#options.feed.backendAt(engineAddress);
-      if (standing === undefined) continue;
-      const report = { running, waiting, slots: standing.slots };
-      const record = this.recordOf(standing.instance);
-      record.takeReport(report, now, LOAD_REPORT_AGE_MILLISECONDS);
+      const announcement = this.#options.feed.backendAt(engineAddress);
+      if (announcement === undefined) continue;
+      const report = { running, waiting, slots: announcement.slots };
+      const record = this.recordOf(announcement.instance);
+      record.recordReport(report, now, LOAD_REPORT_AGE_MILLISECONDS);
     }
   }
 
-  #isEligible(standing: BackendStanding, query: BackendQuery): boolean {
-    if (standing.state !== "ready" || query.tried.has(standing.instance)) {
+  #isEligible(announcement: BackendAnnouncement, query: BackendQuery): boolean {
+    if (
+      announcement.state !== "ready" || query.tried.has(announcement.instance)
+    ) {
       return false;
     }
-    const notice = this.#options.feed.engineAt(standing.address);
+    const notice = this.#options.feed.engineAt(announcement.address);
     if (notice !== undefined && !notice.accepting) return false;
     if (query.model === undefined) return true;
-    return this.#hasUsableWeights(standing, query.model, query.weightsVersion);
+    return this.#hasUsableWeights(
+      announcement,
+      query.model,
+      query.weightsVersion,
+    );
   }
 
   /**
@@ -237,30 +247,31 @@
    * empty or loading holds no complete model.
    */
   #hasUsableWeights(
-    standing: BackendStanding,
+    announcement: BackendAnnouncement,
     model: string,
     version: number | undefined,
   ): boolean {
-    const held = this.#heldVersion(standing, model);
+    const held = this.#heldVersion(announcement, model);
     if (held === undefined) return false;
     if (version !== undefined) return held === version;
     const endsAt = this.#weightsExpireAt(model, held);
-    return monotonicMilliseconds() < endsAt - weightsMargins.beginMilliseconds;
+    return monotonicMilliseconds() <
+      endsAt - weightsMargins.requestStartMilliseconds;
   }
 
   /**
    * Until when a request may begin on the engine's weights, monotonic
    * milliseconds; Infinity while no later version is named.
    */
-  weightsUsableUntil(standing: BackendStanding, model: string): number {
-    const held = this.#heldVersion(standing, model);
+  weightsUsableUntil(announcement: BackendAnnouncement, model: string): number {
+    const held = this.#heldVersion(announcement, model);
     return held === undefined ? Infinity : this.#weightsExpireAt(model, held);
   }
 
   #weightsExpireAt(model: string, held: number): number {
     const { feed, weightsBoundMilliseconds } = this.#options;
-    return feed.namedVersions.overtakenAt(model, held) +
-      weightsBoundMilliseconds - weightsMargins.giveUpMilliseconds;
+    return feed.namedVersions.supersededAt(model, held) +
+      weightsBoundMilliseconds - weightsMargins.namingDelayMilliseconds;
   }
 
   /**
@@ -268,12 +279,15 @@
    * beside the engine about this start takes precedence: it comes sooner than
    * the backend server's next heartbeat.
    */
-  #heldVersion(standing: BackendStanding, model: string): number | undefined {
-    const notice = this.#options.feed.engineAt(standing.address);
+  #heldVersion(
+    announcement: BackendAnnouncement,
+    model: string,
+  ): number | undefined {
+    const notice = this.#options.feed.engineAt(announcement.address);
     const isOfThisStart = notice !== undefined &&
-      notice.engineBornAt === standing.bornAt;
+      notice.engineBornAt === announcement.bornAt;
     if (!isOfThisStart) {
-      return standing.models.find(({ name }) => name === model)?.version;
+      return announcement.models.find(({ name }) => name === model)?.version;
     }
     const prefix = `${model}@`;
     return notice.servingVersion.startsWith(prefix)
--- a/packages/daemon/src/gateway/crash_watch.ts
+++ b/packages/daemon/src/gateway/crash_watch.ts
@@ -1,7 +1,7 @@
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import { type Observable, Subject } from "rxjs";
 import type { EventLog } from "../log/event_log.ts";
-import { askWhetherEnded } from "../transport/ask_whether_ended.ts";
+import { probeProcessEnd } from "../transport/probe_process_end.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 import type { AdmittedCall } from "./admitted_call.ts";
 import type { EndedServer } from "./ended_server.ts";
@@ -15,7 +15,7 @@
 /** A request in flight whose connection a backend server closed. */
 type BrokenRequest = {
   call: AdmittedCall;
-  standing: BackendStanding;
+  announcement: BackendAnnouncement;
   /**
    * When the request's answer began, monotonic milliseconds; undefined if it
    * had not.
@@ -27,13 +27,14 @@
 
 type Options = {
   hasOpenConnection: (address: string) => boolean;
-  backends$: Observable<BackendStanding[]>;
+  backends$: Observable<BackendAnnouncement[]>;
   log: EventLog;
 };
 
 /**
- * Tells the end of a backend server's process from that of a connection: the
- * first interrupts all requests in flight there, the second only one.
+ * Distinguishes the end of a backend server's process from that of a
+ * connection: the first interrupts all requests in flight there, the second
+ * only one.
  */
 export class CrashWatch {
   readonly ended$ = new Subject<EndedServer>();
@@ -51,23 +52,23 @@
    * To be called for each request that a backend server, not this host, broke
    * off.
    */
-  noteBrokenRequest({ call, standing, begunAt }: BrokenRequest): void {
+  noteBrokenRequest({ call, announcement, begunAt }: BrokenRequest): void {
     const now = monotonicMilliseconds();
     const begunMilliseconds = begunAt === undefined ? undefined : now - begunAt;
     const fingerprint = fingerprintCall(call);
-    const known = this.#gathering.get(standing.instance);
+    const known = this.#gathering.get(announcement.instance);
     const interrupted = { call, fingerprint, begunMilliseconds };
     if (known !== undefined) return void known.interrupted.push(interrupted);
-    const suspected = { standing, interrupted: [interrupted], at: now };
-    this.#gathering.set(standing.instance, suspected);
+    const suspected = { announcement, interrupted: [interrupted], at: now };
+    this.#gathering.set(announcement.instance, suspected);
     setTimeout(() => this.#checkEnded(suspected), GATHER_MILLISECONDS);
   }
 
   async #checkEnded(suspected: SuspectedEnd): Promise<void> {
-    const { instance, address } = suspected.standing;
+    const { instance, address } = suspected.announcement;
     this.#gathering.delete(instance);
     if (this.#options.hasOpenConnection(address)) return;
-    const answer = await askWhetherEnded(address);
+    const answer = await probeProcessEnd(address);
     if (answer === "ended") return this.#confirmEnd(suspected, "refuses");
     if (answer === "unknown") this.#pending.set(instance, suspected);
   }
@@ -76,13 +77,14 @@
    * Confirms ends that could not be checked directly: a later start at the same
    * address shows them.
    */
-  #resolvePending(changed: BackendStanding[]): void {
+  #resolvePending(changed: BackendAnnouncement[]): void {
     if (this.#pending.size === 0) return;
     const now = monotonicMilliseconds();
     for (const [instance, suspected] of [...this.#pending]) {
-      const { standing, at } = suspected;
+      const { announcement, at } = suspected;
       const isReplaced = changed.some((later) =>
-        later.address === standing.address && later.bornAt > standing.bornAt
+        later.address === announcement.address &&
+        later.bornAt > announcement.bornAt
       );
       if (!isReplaced && now - at <= PENDING_MILLISECONDS) continue;
       this.#pending.delete(instance);
@@ -91,11 +93,11 @@
   }
 
   #confirmEnd(ended: EndedServer, how: "refuses" | "replaced"): void {
-    const { standing, interrupted } = ended;
+    const { announcement, interrupted } = ended;
     for (const { call, fingerprint, begunMilliseconds } of interrupted) {
       this.#options.log.info("backend-server-ended", {
-        instance: standing.instance,
-        address: standing.address,
+        instance: announcement.instance,
+        address: announcement.address,
         how,
         id: call.id,
         fingerprint,
--- a/packages/daemon/src/gateway/named_limits.ts
+++ b/packages/daemon/src/gateway/named_limits.ts
@@ -1,9 +1,9 @@
 import { create } from "@bufbuild/protobuf";
-import type { AnswerFacts } from "@teaselrouter/core/gateway/answer_facts.ts";
-import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
-import { LimitPart } from "@teaselrouter/core/named_limits/limit_part.ts";
+import type { AnswerMetadata } from "@teaselrouter/core/gateway/answer_metadata.ts";
+import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
+import { LimitPartBucket } from "@teaselrouter/core/named_limits/limit_part_bucket.ts";
 import type { NamedLimit } from "@teaselrouter/core/named_limits/named_limit.ts";
-import { DueNews } from "@teaselrouter/core/news/due_news.ts";
+import { DueNewsSelector } from "@teaselrouter/core/news/due_news_selector.ts";
 import {
   type LimitNews,
   LimitNewsSchema,
@@ -27,15 +27,15 @@
 const END_NOTICE_MILLISECONDS = 3_000;
 /**
  * The end of a limit is remembered for this long, so that late news doesn't
- * bring the limit back.
+ * restore the limit.
  */
 const FORGET_MILLISECONDS = 60_000;
 
-type TrackedLimit = { limit: NamedLimit; part: LimitPart | undefined };
+type TrackedLimit = { limit: NamedLimit; bucket: LimitPartBucket | undefined };
 
 type Options = {
   host: string;
-  backends$: Observable<BackendStanding[]>;
+  backends$: Observable<BackendAnnouncement[]>;
   news$: Observable<LimitNews>;
   publish: (news: LimitNews) => void;
   log: EventLog;
@@ -43,16 +43,16 @@
 };
 
 /**
- * Keeps this host within its part of the limits that backend servers in need
- * name, and tells control hosts how much it would send there.
+ * Keeps this host within its part of the limits that overloaded backend servers
+ * announce, and reports its demand for these servers to control hosts.
  */
 export class NamedLimits {
   #options: Options;
   /** By incarnation: one start of one backend server. */
   #tracked = new Map<string, TrackedLimit>();
-  #due = new DueNews({
-    restMilliseconds: REFRESH_MILLISECONDS,
-    mostPerSecond: MAX_DEMANDS_PER_SECOND,
+  #due = new DueNewsSelector({
+    refreshMilliseconds: REFRESH_MILLISECONDS,
+    maxPerSecond: MAX_DEMANDS_PER_SECOND,
   });
   #timer: NodeJS.Timeout | undefined;
 
@@ -72,47 +72,53 @@
    * Records the limit that an answer names. A signed answer without one ends
    * the known limit.
    */
-  noteAnswer(standing: BackendStanding, facts: AnswerFacts): void {
-    const { limitPerSecond: perSecond, isSigned } = facts;
-    const incarnation = incarnationOf(standing);
+  noteAnswer(
+    announcement: BackendAnnouncement,
+    metadata: AnswerMetadata,
+  ): void {
+    const { limitPerSecond: perSecond, isSigned } = metadata;
+    const incarnation = incarnationOf(announcement);
     const namesLimit = perSecond !== undefined;
     if (!namesLimit && !(isSigned && this.#tracked.has(incarnation))) return;
-    const saidAt = monotonicMilliseconds();
-    this.#record({ incarnation, perSecond, saidAt }, "heard");
+    const announcedAt = monotonicMilliseconds();
+    this.#record({ incarnation, perSecond, announcedAt }, "heard");
   }
 
   /** Whether the backend server has a limit now. */
-  isLimited(standing: BackendStanding): boolean {
-    return this.#partOf(standing) !== undefined;
+  isLimited(announcement: BackendAnnouncement): boolean {
+    return this.#bucketOf(announcement) !== undefined;
   }
 
   /**
    * Whether a request may be sent to the backend server that is best for it.
-   * Counts the request as wanted there.
+   * Counts the request as demand for that backend server.
    */
-  requestAdmission(standing: BackendStanding): boolean {
-    const part = this.#partOf(standing);
-    if (part === undefined) return true;
+  requestAdmission(announcement: BackendAnnouncement): boolean {
+    const bucket = this.#bucketOf(announcement);
+    if (bucket === undefined) return true;
     const now = monotonicMilliseconds();
-    part.want(now);
-    return part.admits(now);
+    bucket.recordDemand(now);
+    return bucket.admit(now);
   }
 
-  /** Whether the limit leaves room for a request now; counts nothing. */
-  hasCapacity(standing: BackendStanding): boolean {
-    return this.#partOf(standing)?.hasRoom(monotonicMilliseconds()) ?? true;
+  /** Whether the limit admits a request now; counts nothing. */
+  hasCapacity(announcement: BackendAnnouncement): boolean {
+    return this.#bucketOf(announcement)?.hasCapacity(monotonicMilliseconds()) ??
+      true;
   }
 
   /** Counts a request that is sent to the backend server. */
-  countSend(standing: BackendStanding): void {
-    this.#partOf(standing)?.take(monotonicMilliseconds());
+  countSend(announcement: BackendAnnouncement): void {
+    this.#bucketOf(announcement)?.take(monotonicMilliseconds());
   }
 
   /**
-   * Milliseconds until the limit leaves room for a request; 0 without a limit.
+   * Milliseconds until the limit admits a request; 0 without a limit.
    */
-  millisecondsUntilCapacity(standing: BackendStanding): number {
-    return this.#partOf(standing)?.untilRoom(monotonicMilliseconds()) ?? 0;
+  millisecondsUntilCapacity(announcement: BackendAnnouncement): number {
+    return this.#bucketOf(announcement)?.millisecondsUntilCapacity(
+      monotonicMilliseconds(),
+    ) ?? 0;
   }
 
   /**
@@ -121,56 +127,60 @@
    */
   logPassedOver(
     id: string,
-    standing: BackendStanding,
-    to: BackendStanding | undefined,
+    announcement: BackendAnnouncement,
+    to: BackendAnnouncement | undefined,
   ): void {
-    const part = this.#partOf(standing);
-    if (part === undefined) return;
+    const bucket = this.#bucketOf(announcement);
+    if (bucket === undefined) return;
     const now = monotonicMilliseconds();
-    const { toldAt } = part;
+    const { assignedAt } = bucket;
     this.#options.log.info("limited-server-passed-over", {
       id,
-      instance: standing.instance,
-      per_second: part.perSecond,
-      part: part.part(now).toFixed(3),
-      told_milliseconds_ago: toldAt === undefined
+      instance: announcement.instance,
+      per_second: bucket.perSecond,
+      part: bucket.part(now).toFixed(3),
+      told_milliseconds_ago: assignedAt === undefined
         ? "never"
-        : Math.round(now - toldAt),
+        : Math.round(now - assignedAt),
       to: to?.instance ?? "none",
     });
   }
 
-  #partOf(standing: BackendStanding): LimitPart | undefined {
+  #bucketOf(announcement: BackendAnnouncement): LimitPartBucket | undefined {
     if (this.#tracked.size === 0) return undefined;
-    return this.#tracked.get(incarnationOf(standing))?.part;
+    return this.#tracked.get(incarnationOf(announcement))?.bucket;
   }
 
   #applyNews({ parts }: LimitNews): void {
     const now = monotonicMilliseconds();
-    for (const told of parts) {
-      const limit = decodeLimit(told, now);
+    for (const assignment of parts) {
+      const limit = decodeLimit(assignment, now);
       const isKnown = this.#tracked.has(limit.incarnation);
       if (limit.perSecond !== undefined || isKnown) this.#record(limit, "told");
-      this.#tracked.get(limit.incarnation)?.part?.tell(told.part, now);
+      this.#tracked.get(limit.incarnation)?.bucket?.assignPart(
+        assignment.part,
+        now,
+      );
     }
   }
 
   /**
-   * Records what a backend server said of its limit, if nothing later is known.
+   * Records a limit that a backend server announced, unless a later one is
+   * known.
    */
   #record(limit: NamedLimit, how: "heard" | "told"): void {
-    const { incarnation, perSecond, saidAt } = limit;
+    const { incarnation, perSecond, announcedAt } = limit;
     const known = this.#tracked.get(incarnation);
-    if (known !== undefined && known.limit.saidAt >= saidAt) return;
+    if (known !== undefined && known.limit.announcedAt >= announcedAt) return;
     const isChange = known?.limit.perSecond !== perSecond;
-    const part = perSecond === undefined ? undefined : known?.part ??
-      new LimitPart(
+    const bucket = perSecond === undefined ? undefined : known?.bucket ??
+      new LimitPartBucket(
         perSecond,
         monotonicMilliseconds(),
         this.#options.random,
       );
-    if (part !== undefined) part.perSecond = perSecond!;
-    this.#tracked.set(incarnation, { limit, part });
+    if (bucket !== undefined) bucket.perSecond = perSecond!;
+    this.#tracked.set(incarnation, { limit, bucket });
     if (!isChange) return;
     this.#options.log.info("limit-named", {
       incarnation,
@@ -190,9 +200,9 @@
    */
   #publishDemands(): void {
     const now = monotonicMilliseconds();
-    for (const [incarnation, { limit, part }] of [...this.#tracked]) {
-      const isOver = part === undefined &&
-        now - limit.saidAt > FORGET_MILLISECONDS;
+    for (const [incarnation, { limit, bucket }] of [...this.#tracked]) {
+      const isOver = bucket === undefined &&
+        now - limit.announcedAt > FORGET_MILLISECONDS;
       if (isOver) this.#tracked.delete(incarnation);
     }
     if (this.#tracked.size === 0) {
@@ -200,16 +210,17 @@
       this.#timer = undefined;
       return;
     }
-    const wanted = [...this.#tracked]
-      .filter(([, { limit, part }]) =>
-        part !== undefined || now - limit.saidAt < END_NOTICE_MILLISECONDS
+    const trackedDemands = [...this.#tracked]
+      .filter(([, { limit, bucket }]) =>
+        bucket !== undefined ||
+        now - limit.announcedAt < END_NOTICE_MILLISECONDS
       )
-      .map(([incarnation, { limit, part }]) => ({
+      .map(([incarnation, { limit, bucket }]) => ({
         key: `${incarnation} ${limit.perSecond ?? "any"}`,
-        value: part?.wantedPerSecond(now) ?? 0,
+        value: bucket?.demandPerSecond(now) ?? 0,
         limit,
       }));
-    const demands = this.#due.select(wanted, now)
+    const demands = this.#due.select(trackedDemands, now)
       .map(({ limit, value }) => ({
         ...encodeLimit(limit, now),
         host: this.#options.host,
@@ -220,19 +231,19 @@
   }
 
   /** Drops the limits of incarnations that have ended. */
-  #dropEndedIncarnations(changed: BackendStanding[]): void {
+  #dropEndedIncarnations(changed: BackendAnnouncement[]): void {
     if (this.#tracked.size === 0) return;
-    for (const standing of changed) {
-      const live = incarnationOf(standing);
+    for (const announcement of changed) {
+      const live = incarnationOf(announcement);
       for (const incarnation of [...this.#tracked.keys()]) {
-        const isSame = incarnation.startsWith(`${standing.instance}@`);
-        const hasEnded = standing.state === "gone" || incarnation !== live;
+        const isSame = incarnation.startsWith(`${announcement.instance}@`);
+        const hasEnded = announcement.state === "gone" || incarnation !== live;
         if (isSame && hasEnded) this.#tracked.delete(incarnation);
       }
     }
   }
 }
 
-function incarnationOf({ instance, bornAt }: BackendStanding): string {
+function incarnationOf({ instance, bornAt }: BackendAnnouncement): string {
   return `${instance}@${bornAt}`;
 }
--- a/packages/daemon/src/spread/link_pacer.ts
+++ b/packages/daemon/src/spread/link_pacer.ts
@@ -12,14 +12,14 @@
   }
 
   /** Waits until the link has capacity for `bytes`. */
-  async take(bytes: number): Promise<void> {
+  async waitFor(bytes: number): Promise<void> {
     const delayMilliseconds = this.reserve(bytes);
     if (delayMilliseconds > 0) await pause(delayMilliseconds);
   }
 
   /**
    * Reserves the link for `bytes` and returns how long the caller has to wait
-   * before it goes on, milliseconds. Callers may run ahead of the rate by up
+   * before it sends, in milliseconds. Callers may run ahead of the rate by up
    * to `MAX_LEAD_MILLISECONDS`.
    */
   reserve(bytes: number): number {
