--- a/packages/experiments/src/heavy/call_end.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-/** How a call ended for its caller. */
-export type CallEnd = "in-time" | "late" | "refused" | "left";
--- /dev/null
+++ b/packages/experiments/src/heavy/fleet_metrics.ts
@@ -0,0 +1,25 @@
+/**
+ * Metrics of one run. `worth`, `worstWindow` and `worstKind` are shares of the
+ * worth that the calls would have earned if all had been answered in time; the
+ * outcomes are shares of all calls.
+ */
+export type FleetMetrics = {
+  calls: number;
+  worth: number;
+  inTime: number;
+  late: number;
+  refused: number;
+  /** Given up by their callers. */
+  left: number;
+  /** Refused for good on their second try; included in `refused`. */
+  refusedAgain: number;
+  /** Time to the first event of calls that had one, milliseconds. */
+  firstEventP50: number;
+  firstEventP99: number;
+  /** Lowest share of worth among the windows of call start times. */
+  worstWindow: number;
+  /** Lowest share of worth among the kinds of calls. */
+  worstKind: number;
+  /** Share of sends that went to another data centre. */
+  crossings: number;
+};
--- a/packages/experiments/src/heavy/fleet_pattern.ts
+++ b/packages/experiments/src/heavy/fleet_pattern.ts
@@ -1,8 +1,11 @@
-/** What happens to a modelled fleet, over some seconds. */
+/** Load and outages of a modelled fleet over time. */
 export type FleetPattern = {
   seconds: number;
-  /** Calls a second as a multiple of what the engines carry. */
+  /** Call rate in a second, as a multiple of the engines' capacity. */
   load: (second: number) => number;
-  /** From one second to another; the engines between two parts of the fleet. */
-  away: { from: number; to: number; first: number; last: number }[];
+  /**
+   * Outages from second `from` to second `to`, of the engines between the
+   * shares `first` and `last` of the fleet.
+   */
+  outages: { from: number; to: number; first: number; last: number }[];
 };
--- a/packages/experiments/src/heavy/fleet_policies.ts
+++ b/packages/experiments/src/heavy/fleet_policies.ts
@@ -1,23 +1,28 @@
 import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
-import type { Decider } from "./decider.ts";
+import type { Dispatcher } from "./dispatcher.ts";
 import type { FleetSettings } from "./fleet_settings.ts";
-import { KnowingDecider } from "./knowing_decider.ts";
+import { OracleDispatcher } from "./oracle_dispatcher.ts";
 import type { ModelledEngine } from "./modelled_engine.ts";
-import { NaiveDecider } from "./naive_decider.ts";
-import { ProductDecider } from "./product_decider.ts";
+import { RoundRobinDispatcher } from "./round_robin_dispatcher.ts";
+import { GatewayDispatcher } from "./gateway_dispatcher.ts";
 
-type World = {
+/** All that any of the dispatchers needs. */
+type DispatcherOptions = {
   host: string;
   dataCentre: string;
   settings: FleetSettings;
-  standings: BackendStanding[];
+  announcements: BackendStanding[];
   engines: readonly ModelledEngine[];
   random: () => number;
 };
 
-/** How one host decides, by the name of the policy. */
-export const fleetPolicies: Record<string, (world: World) => Decider> = {
-  product: (world) => new ProductDecider(world),
-  naive: ({ engines, random }) => new NaiveDecider(engines.length, random),
-  knowing: (world) => new KnowingDecider(world),
+/** Creates one host's dispatcher, by the name of the policy. */
+export const fleetPolicies: Record<
+  string,
+  (options: DispatcherOptions) => Dispatcher
+> = {
+  product: (options) => new GatewayDispatcher(options),
+  naive: ({ engines, random }) =>
+    new RoundRobinDispatcher(engines.length, random),
+  knowing: (options) => new OracleDispatcher(options),
 };
--- a/packages/experiments/src/heavy/fleet_settings_schema.ts
+++ b/packages/experiments/src/heavy/fleet_settings_schema.ts
@@ -5,42 +5,54 @@
 
 const kindSchema = z.strictObject({
   name: z.string().min(1),
-  /** Part of all calls. */
+  /** Share of all calls. */
   share,
+  /** Mean numbers of tokens. */
   prompt_tokens: z.number().positive(),
   answer_tokens: z.number().positive(),
-  /** Standard deviation of the logarithm, of both. */
+  /** Standard deviation of the logarithm of both token counts. */
   spread: z.number().min(0),
+  /** Time to the first event within which a call is in time. */
   target_ms: milliseconds,
+  /** Time after which the caller gives up. */
   patience_ms: milliseconds,
+  /** Worth of a call answered in time, and of one answered late. */
   worth: z.number().positive(),
   late_worth: z.number().min(0),
 });
 
-/** A modelled fleet: engines, the hosts that decide for them, and callers. */
+/** Settings of a modelled fleet: engines, hosts that send to them, callers. */
 export const fleetSettingsSchema = z.strictObject({
   hosts: z.number().int().positive(),
   data_centres: z.number().int().positive(),
   engines: z.number().int().positive(),
   engine: z.strictObject({
     slots: z.number().int().positive(),
-    /** Calls that wait at an engine at most. */
+    /** Maximum number of calls waiting at one engine. */
     queue: z.number().int().min(0),
+    /** Time of one decoding step, and what each running request adds. */
     step_ms: z.number().positive(),
     step_per_request_ms: milliseconds,
     steps_per_pass: z.number().int().positive(),
+    /** Prefill rate. */
     read_tokens_per_ms: z.number().positive(),
-    /** Prompt tokens read in one pass at most. */
+    /** Maximum number of prompt tokens prefilled in one pass. */
     pass_tokens: z.number().positive(),
   }),
-  /** Between two looks at an engine's load. */
+  /** Interval between two samples of an engine's load. */
   look_ms: z.number().positive(),
-  /** From a look until hosts hear of it; loads are never told where absent. */
+  /**
+   * Delay from a sample until all hosts have it. If absent, hosts never receive
+   * load reports.
+   */
   told_after_ms: milliseconds.optional(),
-  /** One way between a host and an engine, and more to another data centre. */
+  /**
+   * One-way latency between a host and an engine, and the additional latency if
+   * the engine is in another data centre.
+   */
   way_ms: milliseconds,
   crossing_ms: milliseconds,
-  /** Without a first event for so long a caller leaves. */
+  /** Time without a first event after which a caller gives up. */
   silence_ms: milliseconds,
   kinds: z.array(kindSchema).min(1),
 });
--- /dev/null
+++ b/packages/experiments/src/heavy/fleet_simulation.ts
@@ -0,0 +1,204 @@
+import { seededRandom } from "@teaselrouter/core/random/seeded_random.ts";
+import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
+import { EventQueue } from "../overload/event_queue.ts";
+import { ModelledCaller } from "./modelled_caller.ts";
+import { estimateCapacity } from "./estimate_capacity.ts";
+import type { Dispatcher } from "./dispatcher.ts";
+import type { FleetPattern } from "./fleet_pattern.ts";
+import { fleetPolicies } from "./fleet_policies.ts";
+import type { FleetSettings } from "./fleet_settings.ts";
+import type { FleetMetrics } from "./fleet_metrics.ts";
+import { MetricsCollector } from "./metrics_collector.ts";
+import type { ModelledCall } from "./modelled_call.ts";
+import { ModelledEngine } from "./modelled_engine.ts";
+
+const MILLISECONDS_PER_SECOND = 1_000;
+/** Time after the pattern within which the last calls end. */
+const DRAIN_MILLISECONDS = 20_000;
+
+type Options = {
+  settings: FleetSettings;
+  pattern: FleetPattern;
+  policy: string;
+  seed: number;
+};
+
+type Host = { dataCentre: string; dispatcher: Dispatcher };
+
+/** Simulates a modelled fleet under one pattern. */
+export class FleetSimulation {
+  #options: Options;
+  #events = new EventQueue();
+  /**
+   * Random numbers of the callers, separate from those of the dispatchers so
+   * that a dispatcher's draws do not shift those of the callers.
+   */
+  #random: () => number;
+  #engines: ModelledEngine[];
+  #announcements: BackendStanding[];
+  #hosts: Host[];
+  #collector = new MetricsCollector();
+
+  constructor(options: Options) {
+    const { settings, policy, seed } = options;
+    this.#options = options;
+    this.#random = seededRandom(seed);
+    const { engine } = settings;
+    this.#engines = Array.from(
+      { length: settings.engines },
+      () => new ModelledEngine({ events: this.#events, engine }),
+    );
+    this.#announcements = this.#engines.map((_, index) =>
+      createAnnouncement(index, settings)
+    );
+    const dispatcherRandom = seededRandom(seed + 1);
+    this.#hosts = Array.from({ length: settings.hosts }, (_, index) => {
+      const dataCentre = dataCentreOf(index, settings);
+      const dispatcher = fleetPolicies[policy]!({
+        host: `host-${index}`,
+        dataCentre,
+        settings,
+        announcements: this.#announcements,
+        engines: this.#engines,
+        random: dispatcherRandom,
+      });
+      return { dataCentre, dispatcher };
+    });
+  }
+
+  run(): FleetMetrics {
+    const { pattern } = this.#options;
+    this.#scheduleNextCall();
+    if (this.#options.settings.told_after_ms !== undefined) this.#sampleLoads();
+    for (const outage of pattern.outages) this.#scheduleOutage(outage);
+    this.#events.runUntil(
+      pattern.seconds * MILLISECONDS_PER_SECOND + DRAIN_MILLISECONDS,
+    );
+    return this.#collector.computeMetrics();
+  }
+
+  #scheduleNextCall(): void {
+    const { pattern, settings } = this.#options;
+    const { now } = this.#events;
+    if (now >= pattern.seconds * MILLISECONDS_PER_SECOND) return;
+    const callsPerSecond = estimateCapacity(settings) *
+      pattern.load(now / MILLISECONDS_PER_SECOND);
+    const gapMilliseconds = -Math.log(1 - this.#random()) *
+      MILLISECONDS_PER_SECOND / callsPerSecond;
+    this.#events.after(gapMilliseconds, () => {
+      this.#startCall();
+      this.#scheduleNextCall();
+    });
+  }
+
+  #startCall(): void {
+    const { settings } = this.#options;
+    const host = this.#hosts[Math.floor(this.#random() * this.#hosts.length)]!;
+    const call = this.#drawCall(host.dataCentre);
+    const localHosts = this.#hosts.filter(({ dataCentre }) =>
+      dataCentre === host.dataCentre
+    );
+    new ModelledCaller({
+      call,
+      settings,
+      events: this.#events,
+      engines: this.#engines,
+      dataCentreOf: (engine) => this.#announcements[engine]!.dataCentre,
+      pickDispatcher: () =>
+        localHosts[Math.floor(this.#random() * localHosts.length)]!.dispatcher,
+      collector: this.#collector,
+    }).start();
+  }
+
+  #drawCall(dataCentre: string): ModelledCall {
+    const { kinds } = this.#options.settings;
+    let draw = this.#random();
+    const kind = kinds.find(({ share }) => (draw -= share) < 0) ?? kinds[0]!;
+    const { now } = this.#events;
+    return {
+      kind,
+      dataCentre,
+      promptTokens: this.#drawTokenCount(kind.prompt_tokens, kind.spread),
+      answerTokens: this.#drawTokenCount(kind.answer_tokens, kind.spread),
+      startedAt: now,
+      abandonedAt: now + kind.patience_ms,
+      tries: 0,
+      firstEventAt: undefined,
+      outcome: undefined,
+    };
+  }
+
+  /** Log-normal with this mean; half of it as the least. */
+  #drawTokenCount(mean: number, spread: number): number {
+    const radius = Math.sqrt(-2 * Math.log(1 - this.#random()));
+    const normal = radius * Math.cos(2 * Math.PI * this.#random());
+    const size = mean * Math.exp(spread * normal - spread * spread / 2);
+    return Math.max(1, Math.round(Math.min(size, 3 * mean)));
+  }
+
+  /**
+   * Starts the periodic load reports of all engines, staggered over one period.
+   */
+  #sampleLoads(): void {
+    const { look_ms } = this.#options.settings;
+    this.#engines.forEach((_, index) => {
+      const first = look_ms * index / this.#engines.length;
+      this.#events.after(first, () => this.#sampleLoad(index));
+    });
+  }
+
+  /**
+   * Samples the load of an engine, delivers it to all hosts after the delay of
+   * reports, and schedules the next sample.
+   */
+  #sampleLoad(index: number): void {
+    const { look_ms, told_after_ms: age = 0 } = this.#options.settings;
+    const { running, waiting, isDown } = this.#engines[index]!;
+    this.#events.after(age, () => {
+      if (isDown) return;
+      const report = { now: this.#events.now, age };
+      for (const { dispatcher } of this.#hosts) {
+        dispatcher.recordLoadReport(index, { running, waiting }, report);
+      }
+    });
+    this.#events.after(look_ms, () => this.#sampleLoad(index));
+  }
+
+  #scheduleOutage(
+    { from, to, first, last }: FleetPattern["outages"][number],
+  ): void {
+    const count = this.#engines.length;
+    const engines = this.#engines.slice(
+      Math.round(first * count),
+      Math.round(last * count),
+    );
+    this.#events.after(from * MILLISECONDS_PER_SECOND, () => {
+      for (const engine of engines) engine.startOutage();
+    });
+    this.#events.after(to * MILLISECONDS_PER_SECOND, () => {
+      for (const engine of engines) engine.endOutage();
+    });
+  }
+}
+
+function dataCentreOf(index: number, { data_centres }: FleetSettings): string {
+  return `centre-${index % data_centres}`;
+}
+
+function createAnnouncement(
+  index: number,
+  settings: FleetSettings,
+): BackendStanding {
+  return {
+    instance: `engine-${index}`,
+    service: "model",
+    address: `engine-${index}`,
+    dataCentre: dataCentreOf(index, settings),
+    slots: settings.engine.slots,
+    state: "ready",
+    bornAt: 0,
+    sequence: 1,
+    coldMilliseconds: 0,
+    models: [{ name: "model", version: 1 }],
+  };
+}
--- a/packages/experiments/src/heavy/fleet_run_test.ts
+++ b/packages/experiments/src/heavy/fleet_simulation_test.ts
@@ -2,16 +2,16 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { EventQueue } from "../overload/event_queue.ts";
-import { capacityOf } from "./capacity_of.ts";
+import { estimateCapacity } from "./estimate_capacity.ts";
 import { fleetPatterns } from "./fleet_patterns.ts";
-import { FleetRun } from "./fleet_run.ts";
+import { FleetSimulation } from "./fleet_simulation.ts";
 import { loadFleetSettings } from "./load_fleet_settings.ts";
 import type { ModelledCall } from "./modelled_call.ts";
 import { ModelledEngine } from "./modelled_engine.ts";
 
 const settings = loadFleetSettings("examples/fleet-10x16.toml");
 
-test("no engine ever runs more than its slots, and each call ends once", () => {
+test("an engine never exceeds its slots, and each call ends once", () => {
   const sizes = fc.array(
     fc.tuple(
       fc.integer({ min: 1, max: 3_000 }),
@@ -25,28 +25,28 @@
     const { engine } = settings;
     const model = new ModelledEngine({ events, engine });
     let ends = 0;
-    let taken = 0;
-    for (const [unread, unwritten, rank] of calls) {
-      const isTaken = model.take({
+    let accepted = 0;
+    for (const [pendingPromptTokens, pendingAnswerTokens, rank] of calls) {
+      const isAccepted = model.tryEnqueue({
         call: {} as ModelledCall,
         rank,
-        unread,
-        unwritten,
+        pendingPromptTokens,
+        pendingAnswerTokens,
         onEvent: () => assert.ok(model.running <= engine.slots),
         onEnd: () => ends += 1,
       });
-      if (isTaken) taken += 1;
+      if (isAccepted) accepted += 1;
     }
     events.runUntil(10_000_000);
-    assert.equal(ends, taken);
+    assert.equal(ends, accepted);
     assert.equal(model.running + model.waiting, 0);
   }));
 });
 
-test("every call of a run ends, whatever decides", () => {
+test("every call ends under every policy", () => {
   for (const policy of ["product", "naive", "knowing"]) {
     const pattern = { ...fleetPatterns.outage!, seconds: 11 };
-    const run = new FleetRun({ settings, pattern, policy, seed: 5 });
+    const run = new FleetSimulation({ settings, pattern, policy, seed: 5 });
     const figures = run.run();
     const { inTime, late, refused, left } = figures;
     assert.ok(figures.calls > 0);
@@ -54,20 +54,25 @@
   }
 });
 
-test("below what the engines carry nearly all are in time", () => {
-  assert.ok(capacityOf(settings) > 0);
+test("below the engines' capacity nearly all calls are in time", () => {
+  assert.ok(estimateCapacity(settings) > 0);
   const pattern = { ...fleetPatterns["steady-0.8"]!, load: () => 0.5 };
-  const run = new FleetRun({ settings, pattern, policy: "knowing", seed: 1 });
+  const run = new FleetSimulation({
+    settings,
+    pattern,
+    policy: "knowing",
+    seed: 1,
+  });
   assert.ok(run.run().inTime > 0.95);
 });
 
-test("the same seed plays the same run", () => {
-  const play = () =>
-    new FleetRun({
+test("two runs with the same seed give the same metrics", () => {
+  const runOnce = () =>
+    new FleetSimulation({
       settings,
       pattern: { ...fleetPatterns["steady-1.1"]!, seconds: 6 },
       policy: "product",
       seed: 9,
     }).run();
-  assert.deepEqual(play(), play());
+  assert.deepEqual(runOnce(), runOnce());
 });
--- a/packages/experiments/src/heavy/product_decider.ts
+++ b/packages/experiments/src/heavy/gateway_dispatcher.ts
@@ -10,112 +10,119 @@
 import { SlotPressure } from "@teaselrouter/core/gateway/slot_pressure.ts";
 import { UsualPatience } from "@teaselrouter/core/gateway/usual_patience.ts";
 import type { BackendStanding } from "@teaselrouter/core/membership/backend_standing.ts";
-import type { Decider } from "./decider.ts";
-import type { Decision } from "./decision.ts";
+import type { Dispatcher } from "./dispatcher.ts";
+import type { DispatchDecision } from "./dispatch_decision.ts";
 import type { FleetSettings } from "./fleet_settings.ts";
 import type { ModelledCall } from "./modelled_call.ts";
 
-const RANK = 1;
+const TIMELY_RANK = 1;
 const LATE_RANK = 6;
 
 type Options = {
   host: string;
   dataCentre: string;
   settings: FleetSettings;
-  standings: BackendStanding[];
+  announcements: BackendStanding[];
   random: () => number;
 };
 
-/** Decides by the very modules that a gateway decides by. */
-export class ProductDecider implements Decider {
+/** Decides with the gateway's own routing and admission code. */
+export class GatewayDispatcher implements Dispatcher {
   #options: Options;
-  #choices: BackendChoice[];
-  #home: ReadonlySet<string>;
-  #engine: EngineDefinition;
-  #pressure = new SlotPressure();
-  #patience = new UsualPatience();
-  #timely = new Set<ModelledCall>();
+  #candidates: BackendChoice[];
+  #homeBackends: ReadonlySet<string>;
+  #engineDefinition: EngineDefinition;
+  #slotPressure = new SlotPressure();
+  #patienceEstimator = new UsualPatience();
+  #timelyUnanswered = new Set<ModelledCall>();
 
   constructor(options: Options) {
     this.#options = options;
-    this.#choices = options.standings.map((standing) => ({
+    this.#candidates = options.announcements.map((standing) => ({
       standing,
       record: new BackendRecord(),
     }));
-    this.#home = pickHomeBackends(options.standings, options);
-    this.#engine = definitionOf(options.settings);
+    this.#homeBackends = pickHomeBackends(options.announcements, options);
+    this.#engineDefinition = createEngineDefinition(options.settings);
   }
 
-  decide(call: ModelledCall, now: number): Decision {
+  decide(call: ModelledCall, now: number): DispatchDecision {
     const { dataCentre, random } = this.#options;
-    noteUsualLoad(this.#choices, now);
-    const promising = this.#choices.filter(({ record }) =>
+    noteUsualLoad(this.#candidates, now);
+    const available = this.#candidates.filter(({ record }) =>
       record.isPromising(now)
     );
-    const patience = call.endsAt - now;
-    const choice = chooseBackend(promising, {
+    const patience = call.abandonedAt - now;
+    const candidate = chooseBackend(available, {
       dataCentre,
       promptTokens: call.promptTokens,
-      engine: this.#engine,
-      home: this.#home,
+      engine: this.#engineDefinition,
+      home: this.#homeBackends,
       random,
       now,
     });
-    if (choice === undefined) return this.#refuse("outage", patience);
-    const spentBefore = this.#patience.spentBefore(routeOf(call), patience);
-    const placement = decidePlacement(choice, {
-      engine: this.#engine,
+    if (candidate === undefined) return this.#refuse("outage", patience);
+    const spentMilliseconds = this.#patienceEstimator.spentBefore(
+      createRoute(call),
+      patience,
+    );
+    const placement = decidePlacement(candidate, {
+      engine: this.#engineDefinition,
       promptTokens: call.promptTokens,
-      targetLeftMilliseconds: call.kind.target_ms - spentBefore,
-      slotPressure: this.#pressure.share,
+      targetLeftMilliseconds: call.kind.target_ms - spentMilliseconds,
+      slotPressure: this.#slotPressure.share,
       now,
     });
-    if (spentBefore === 0) {
-      this.#pressure.note(
-        placement.forecast!.requests >= choice.standing.slots,
+    if (spentMilliseconds === 0) {
+      this.#slotPressure.note(
+        placement.forecast!.requests >= candidate.standing.slots,
       );
     }
     if (placement.kind === "refused") {
       return this.#refuse("overload", patience);
     }
-    this.#noteSend(call, choice, placement.kind === "timely", now);
+    this.#recordSend(call, candidate, placement.kind === "timely", now);
     return {
       kind: "send",
-      engine: this.#choices.indexOf(choice),
-      rank: placement.kind === "timely" ? RANK : LATE_RANK,
+      engine: this.#candidates.indexOf(candidate),
+      rank: placement.kind === "timely" ? TIMELY_RANK : LATE_RANK,
     };
   }
 
-  noteFirstEvent(call: ModelledCall, engine: number, now: number): void {
-    const { record } = this.#choices[engine]!;
-    this.#noteRead(call, record);
+  recordFirstEvent(call: ModelledCall, engine: number, now: number): void {
+    const { record } = this.#candidates[engine]!;
+    this.#recordResponse(call, record);
     record.noteHeard(now);
     record.countSuccess();
     record.endTrial();
   }
 
-  noteEnd(call: ModelledCall, engine: number, hold: number | undefined): void {
-    const { record } = this.#choices[engine]!;
+  recordEnd(
+    call: ModelledCall,
+    engine: number,
+    slotHoldMilliseconds: number | undefined,
+  ): void {
+    const { record } = this.#candidates[engine]!;
     record.inFlight -= 1;
-    if (hold === undefined) this.#noteRead(call, record);
-    else record.noteHold(hold);
+    if (slotHoldMilliseconds === undefined) this.#recordResponse(call, record);
+    else record.noteHold(slotHoldMilliseconds);
   }
 
-  noteRejected(call: ModelledCall, engine: number, now: number): void {
-    this.noteEnd(call, engine, undefined);
-    this.#choices[engine]!.record.leaveAside(now);
+  recordRejection(call: ModelledCall, engine: number, now: number): void {
+    this.recordEnd(call, engine, undefined);
+    this.#candidates[engine]!.record.leaveAside(now);
   }
 
-  hearLoad(
+  recordLoadReport(
     engine: number,
     load: { running: number; waiting: number },
     { now, age }: { now: number; age: number },
   ): void {
     const { slots } = this.#options.settings.engine;
-    this.#choices[engine]!.record.takeReport({ ...load, slots }, now, age);
+    this.#candidates[engine]!.record.takeReport({ ...load, slots }, now, age);
   }
 
-  #noteSend(
+  #recordSend(
     call: ModelledCall,
     { record }: BackendChoice,
     isTimely: boolean,
@@ -126,15 +133,18 @@
     record.unreadTokens += call.promptTokens;
     if (!isTimely) return;
     record.timelyUnread += 1;
-    this.#timely.add(call);
+    this.#timelyUnanswered.add(call);
   }
 
-  #noteRead(call: ModelledCall, record: BackendRecord): void {
+  #recordResponse(call: ModelledCall, record: BackendRecord): void {
     record.unreadTokens -= call.promptTokens;
-    if (this.#timely.delete(call)) record.timelyUnread -= 1;
+    if (this.#timelyUnanswered.delete(call)) record.timelyUnread -= 1;
   }
 
-  #refuse(cause: "outage" | "overload", patience: number): Decision {
+  #refuse(
+    cause: "outage" | "overload",
+    patience: number,
+  ): DispatchDecision {
     const retryAfterMilliseconds = retryAfter({
       cause,
       patienceMilliseconds: patience,
@@ -144,7 +154,7 @@
   }
 }
 
-function routeOf({ kind }: ModelledCall): Route {
+function createRoute({ kind }: ModelledCall): Route {
   return {
     name: kind.name,
     host: "model",
@@ -152,7 +162,7 @@
     kind: "stream",
     timeoutMilliseconds: kind.patience_ms,
     targetMilliseconds: kind.target_ms,
-    priority: RANK,
+    priority: TIMELY_RANK,
     targets: [{ service: "model", weight: 1 }],
     maxBackends: 2,
     needsKey: false,
@@ -160,7 +170,9 @@
   };
 }
 
-function definitionOf({ engine, look_ms }: FleetSettings): EngineDefinition {
+function createEngineDefinition(
+  { engine, look_ms }: FleetSettings,
+): EngineDefinition {
   return {
     models: ["model"],
     slots: engine.slots,
--- a/packages/experiments/src/heavy/heavy_experiment.ts
+++ b/packages/experiments/src/heavy/heavy_experiment.ts
@@ -1,18 +1,18 @@
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 import process from "node:process";
 import sade from "sade";
-import { differenceOf } from "./difference_of.ts";
+import { computePairedDifference } from "./compute_paired_difference.ts";
 import { fleetPatterns } from "./fleet_patterns.ts";
 import { fleetPolicies } from "./fleet_policies.ts";
-import { FleetRun } from "./fleet_run.ts";
-import type { FleetFigures } from "./fleet_figures.ts";
+import { FleetSimulation } from "./fleet_simulation.ts";
+import type { FleetMetrics } from "./fleet_metrics.ts";
 import { loadFleetSettings } from "./load_fleet_settings.ts";
 
 const HEADINGS = [
   "PATTERN",
   "POLICY",
   "WORTH",
-  "LESS FIRST",
+  "VS FIRST",
   "INTIME",
   "LATE",
   "REFUSED",
@@ -23,7 +23,7 @@
   "CROSS",
 ];
 
-type Words = {
+type Flags = {
   fleet: string;
   pattern?: string;
   policy: string;
@@ -31,32 +31,39 @@
   json?: boolean;
 };
 
-type Row = { pattern: string; policy: string; figures: FleetFigures[] };
+type Row = { pattern: string; policy: string; figures: FleetMetrics[] };
 
-/** Policies under named loads, on a modelled fleet, on the same seeds. */
+/**
+ * Compares policies on a modelled fleet, under the named patterns and with the
+ * same seeds.
+ */
 export function heavyExperiment(): Promise<boolean> {
   return new Promise((resolve) => {
     sade("heavy", true)
-      .option("--fleet", "Settings of the fleet", "examples/fleet-41x12.toml")
+      .option(
+        "--fleet",
+        "Settings file of the fleet",
+        "examples/fleet-41x12.toml",
+      )
       .option("--pattern", `One of ${Object.keys(fleetPatterns).join(", ")}`)
       .option(
         "--policy",
-        "Compared, the first with each",
+        "Policies to compare, separated by commas; the first is the baseline",
         "product,naive,knowing",
       )
-      .option("--seeds", "How many", 20)
-      .option("--json", "All figures, seed by seed")
-      .action((words: Words) => {
-        const rows = play(words);
-        if (words.json) console.log(JSON.stringify(rows));
-        else console.log(tableOf(rows));
+      .option("--seeds", "Number of seeds", 20)
+      .option("--json", "Print all metrics of each seed as JSON")
+      .action((flags: Flags) => {
+        const rows = runSimulations(flags);
+        if (flags.json) console.log(JSON.stringify(rows));
+        else console.log(formatRows(rows));
         resolve(true);
       })
       .parse(process.argv.slice(1));
   });
 }
 
-function play({ fleet, pattern, policy, seeds }: Words): Row[] {
+function runSimulations({ fleet, pattern, policy, seeds }: Flags): Row[] {
   const settings = loadFleetSettings(fleet);
   const patterns = pattern === undefined
     ? Object.keys(fleetPatterns)
@@ -69,7 +76,7 @@
     policies.map((policy) => {
       process.stderr.write(`${name} ${policy}\n`);
       const figures = Array.from({ length: Number(seeds) }, (_, seed) =>
-        new FleetRun({
+        new FleetSimulation({
           settings,
           pattern: fleetPatterns[name]!,
           policy,
@@ -80,37 +87,39 @@
   );
 }
 
-function tableOf(rows: Row[]): string {
-  return formatTable(HEADINGS, rows.map((row) => cellsOf(row, rows)));
+function formatRows(rows: Row[]): string {
+  return formatTable(HEADINGS, rows.map((row) => formatCells(row, rows)));
 }
 
-function cellsOf({ pattern, policy, figures }: Row, rows: Row[]): string[] {
-  const first = rows.find((row) => row.pattern === pattern)!;
-  const column = (of: (figures: FleetFigures) => number) =>
-    shorten(
+function formatCells({ pattern, policy, figures }: Row, rows: Row[]): string[] {
+  const baseline = rows.find((row) => row.pattern === pattern)!;
+  const meanOf = (of: (figures: FleetMetrics) => number) =>
+    formatShare(
       figures.reduce((sum, run) => sum + of(run), 0) / figures.length,
     );
-  const { mean, half } = differenceOf(
+  const { mean, halfWidth } = computePairedDifference(
     figures.map(({ worth }) => worth),
-    first.figures.map(({ worth }) => worth),
+    baseline.figures.map(({ worth }) => worth),
   );
   return [
     pattern,
     policy,
-    column(({ worth }) => worth),
-    first.policy === policy ? "" : `${mean.toFixed(3)}±${half.toFixed(3)}`,
-    column(({ inTime }) => inTime),
-    column(({ late }) => late),
-    column(({ refused }) => refused),
-    column(({ refusedAgain }) => refusedAgain),
-    column(({ left }) => left),
-    column(({ worstWindow }) => worstWindow),
-    column(({ worstKind }) => worstKind),
-    column(({ crossings }) => crossings),
+    meanOf(({ worth }) => worth),
+    baseline.policy === policy
+      ? ""
+      : `${mean.toFixed(3)}±${halfWidth.toFixed(3)}`,
+    meanOf(({ inTime }) => inTime),
+    meanOf(({ late }) => late),
+    meanOf(({ refused }) => refused),
+    meanOf(({ refusedAgain }) => refusedAgain),
+    meanOf(({ left }) => left),
+    meanOf(({ worstWindow }) => worstWindow),
+    meanOf(({ worstKind }) => worstKind),
+    meanOf(({ crossings }) => crossings),
   ];
 }
 
-/** .876 for 0.876: a row has to fit 80 columns. */
-function shorten(share: number): string {
+/** Formats 0.876 as .876, so that a row fits in 80 columns. */
+function formatShare(share: number): string {
   return share.toFixed(3).replace(/^0/, "");
 }
--- /dev/null
+++ b/packages/experiments/src/heavy/metrics_collector.ts
@@ -0,0 +1,88 @@
+import { build } from "hdr-histogram-js";
+import type { FleetMetrics } from "./fleet_metrics.ts";
+import type { ModelledCall } from "./modelled_call.ts";
+
+/** Calls are grouped by start time into windows of this length. */
+const WINDOW_MILLISECONDS = 2_000;
+const MAX_TRACKED_MILLISECONDS = 60_000;
+
+/** Worth earned by calls, and worth if all had been answered in time. */
+type WorthSum = { earned: number; possible: number };
+
+/** Collects the outcomes of all calls of a run and computes its metrics. */
+export class MetricsCollector {
+  #outcomeCounts = { "in-time": 0, late: 0, refused: 0, left: 0 };
+  #refusedAgain = 0;
+  #sends = 0;
+  #crossDataCentreSends = 0;
+  #totalWorth: WorthSum = { earned: 0, possible: 0 };
+  #firstEvents = build({ highestTrackableValue: MAX_TRACKED_MILLISECONDS });
+  #worthByWindow = new Map<number, WorthSum>();
+  #worthByKind = new Map<string, WorthSum>();
+
+  recordSend(isCrossDataCentre: boolean): void {
+    this.#sends += 1;
+    if (isCrossDataCentre) this.#crossDataCentreSends += 1;
+  }
+
+  recordEnd(call: ModelledCall): void {
+    const { kind, outcome, tries, startedAt, firstEventAt } = call;
+    this.#outcomeCounts[outcome!] += 1;
+    if (firstEventAt !== undefined) {
+      this.#firstEvents.recordValue(Math.round(firstEventAt - startedAt));
+    }
+    if (outcome === "refused" && tries > 1) this.#refusedAgain += 1;
+    const window = Math.floor(startedAt / WINDOW_MILLISECONDS);
+    const earned = outcome === "in-time"
+      ? kind.worth
+      : outcome === "late"
+      ? kind.late_worth
+      : 0;
+    const sums = [
+      this.#totalWorth,
+      getOrCreateSum(this.#worthByWindow, window),
+      getOrCreateSum(this.#worthByKind, kind.name),
+    ];
+    for (const sum of sums) {
+      sum.earned += earned;
+      sum.possible += kind.worth;
+    }
+  }
+
+  computeMetrics(): FleetMetrics {
+    const { late, refused, left } = this.#outcomeCounts;
+    const inTime = this.#outcomeCounts["in-time"];
+    const calls = inTime + late + refused + left;
+    const shareOfCalls = (count: number) => count / Math.max(1, calls);
+    return {
+      calls,
+      worth: earnedShareOf(this.#totalWorth),
+      inTime: shareOfCalls(inTime),
+      late: shareOfCalls(late),
+      refused: shareOfCalls(refused),
+      left: shareOfCalls(left),
+      refusedAgain: shareOfCalls(this.#refusedAgain),
+      firstEventP50: this.#firstEvents.getValueAtPercentile(50),
+      firstEventP99: this.#firstEvents.getValueAtPercentile(99),
+      worstWindow: Math.min(
+        ...[...this.#worthByWindow.values()].map(earnedShareOf),
+      ),
+      worstKind: Math.min(
+        ...[...this.#worthByKind.values()].map(earnedShareOf),
+      ),
+      crossings: this.#crossDataCentreSends / Math.max(1, this.#sends),
+    };
+  }
+}
+
+function getOrCreateSum<Key>(sums: Map<Key, WorthSum>, key: Key): WorthSum {
+  const known = sums.get(key);
+  if (known !== undefined) return known;
+  const sum = { earned: 0, possible: 0 };
+  sums.set(key, sum);
+  return sum;
+}
+
+function earnedShareOf({ earned, possible }: WorthSum): number {
+  return possible === 0 ? 1 : earned / possible;
+}
--- a/packages/experiments/src/heavy/modelled_call.ts
+++ b/packages/experiments/src/heavy/modelled_call.ts
@@ -1,16 +1,20 @@
-import type { CallEnd } from "./call_end.ts";
+import type { CallOutcome } from "./call_outcome.ts";
 import type { FleetSettings } from "./fleet_settings.ts";
 
-/** One call of a modelled caller, over all of its tries. */
+/**
+ * One call of a modelled caller, over all of its tries. Times are milliseconds
+ * of the simulated clock.
+ */
 export type ModelledCall = {
   kind: FleetSettings["kinds"][number];
   dataCentre: string;
   promptTokens: number;
   answerTokens: number;
   startedAt: number;
-  /** Times in milliseconds of the model's clock. */
-  endsAt: number;
+  /** When the caller gives up. */
+  abandonedAt: number;
   tries: number;
   firstEventAt: number | undefined;
-  end: CallEnd | undefined;
+  /** Undefined until the call has ended. */
+  outcome: CallOutcome | undefined;
 };
--- a/packages/experiments/src/heavy/modelled_engine.ts
+++ b/packages/experiments/src/heavy/modelled_engine.ts
@@ -1,19 +1,20 @@
 import type { EventQueue } from "../overload/event_queue.ts";
-import type { EngineWork } from "./engine_work.ts";
+import type { EngineRequest } from "./engine_request.ts";
 import type { FleetSettings } from "./fleet_settings.ts";
 
 type Options = { events: EventQueue; engine: FleetSettings["engine"] };
 
 /**
- * A model engine that works in passes: some steps of all answers that are
- * being written, and between them a piece of the prompts that are not read.
+ * Simulates a model engine with continuous batching. It works in passes: each
+ * pass decodes some tokens of all answers in progress and prefills a limited
+ * number of prompt tokens, which delays the decoding.
  */
 export class ModelledEngine {
   #options: Options;
-  #waiting: EngineWork[] = [];
-  #active: EngineWork[] = [];
-  #isPassing = false;
-  #isAway = false;
+  #waiting: EngineRequest[] = [];
+  #active: EngineRequest[] = [];
+  #isPassRunning = false;
+  #isDown = false;
 
   constructor(options: Options) {
     this.#options = options;
@@ -27,111 +28,126 @@
     return this.#waiting.length;
   }
 
-  get isAway(): boolean {
-    return this.#isAway;
+  get isDown(): boolean {
+    return this.#isDown;
   }
 
-  /** What is left of each call that runs, for a decider that knows all. */
-  get active(): readonly EngineWork[] {
+  /** Requests in slots, exposed for a dispatcher with complete knowledge. */
+  get activeRequests(): readonly EngineRequest[] {
     return this.#active;
   }
 
-  get queued(): readonly EngineWork[] {
+  /** Requests in the queue, in order; exposed for the same dispatcher. */
+  get waitingRequests(): readonly EngineRequest[] {
     return this.#waiting;
   }
 
-  /** Whether it is taken; an engine that is full or away does not run it. */
-  take(work: EngineWork): boolean {
+  /**
+   * Adds a request to the queue, behind those of the same or a lower rank.
+   * Returns false if the engine is full or has an outage.
+   */
+  tryEnqueue(request: EngineRequest): boolean {
     const { queue, slots } = this.#options.engine;
     const isFull = this.#active.length >= slots &&
       this.#waiting.length >= queue;
-    if (this.#isAway || isFull) return false;
-    const behind = this.#waiting.findIndex(({ rank }) => rank > work.rank);
-    this.#waiting.splice(behind < 0 ? this.#waiting.length : behind, 0, work);
-    this.#pass();
+    if (this.#isDown || isFull) return false;
+    const index = this.#waiting.findIndex(({ rank }) => rank > request.rank);
+    this.#waiting.splice(index < 0 ? this.#waiting.length : index, 0, request);
+    this.#startPass();
     return true;
   }
 
-  /** Its caller has left. */
-  drop(work: EngineWork): void {
-    this.#waiting = this.#waiting.filter((other) => other !== work);
-    this.#active = this.#active.filter((other) => other !== work);
+  /** Removes a request that has ended or whose caller gave up. */
+  remove(request: EngineRequest): void {
+    this.#waiting = this.#waiting.filter((other) => other !== request);
+    this.#active = this.#active.filter((other) => other !== request);
   }
 
-  /** Ends all that it has, and takes nothing until it is back. */
-  goAway(): void {
-    this.#isAway = true;
-    const cut = [...this.#active, ...this.#waiting];
+  /** Interrupts all requests and accepts none until the outage ends. */
+  startOutage(): void {
+    this.#isDown = true;
+    const interrupted = [...this.#active, ...this.#waiting];
     this.#active = [];
     this.#waiting = [];
-    for (const { onEnd } of cut) onEnd(false);
+    for (const { onEnd } of interrupted) onEnd(false);
   }
 
-  comeBack(): void {
-    this.#isAway = false;
+  endOutage(): void {
+    this.#isDown = false;
   }
 
-  #pass(): void {
-    if (this.#isPassing) return;
-    this.#admit();
+  #startPass(): void {
+    if (this.#isPassRunning) return;
+    this.#admitWaiting();
     if (this.#active.length === 0) return;
-    this.#isPassing = true;
-    const writers = this.#active.filter(({ unread }) => unread === 0);
-    const read = this.#read();
+    this.#isPassRunning = true;
+    const decoding = this.#active.filter(({ pendingPromptTokens }) =>
+      pendingPromptTokens === 0
+    );
+    const prefilledTokens = this.#prefill();
     const { engine, events } = this.#options;
-    const step = engine.step_ms + engine.step_per_request_ms * writers.length;
-    const writing = writers.length > 0 ? engine.steps_per_pass * step : 0;
-    const reading = read / engine.read_tokens_per_ms;
-    events.after(Math.max(engine.step_ms, writing + reading), () => {
-      this.#isPassing = false;
-      this.#write(writers);
-      this.#begin(writers);
-      this.#pass();
-    });
-  }
-
-  #admit(): void {
+    const stepMilliseconds = engine.step_ms +
+      engine.step_per_request_ms * decoding.length;
+    const decodeMilliseconds = decoding.length > 0
+      ? engine.steps_per_pass * stepMilliseconds
+      : 0;
+    const prefillMilliseconds = prefilledTokens / engine.read_tokens_per_ms;
+    events.after(
+      Math.max(engine.step_ms, decodeMilliseconds + prefillMilliseconds),
+      () => {
+        this.#isPassRunning = false;
+        this.#decode(decoding);
+        this.#emitFirstTokens(decoding);
+        this.#startPass();
+      },
+    );
+  }
+
+  #admitWaiting(): void {
     const { slots } = this.#options.engine;
     while (this.#active.length < slots && this.#waiting.length > 0) {
       this.#active.push(this.#waiting.shift()!);
     }
   }
 
-  /** Prompts in order, as far as one pass goes; gives back the tokens read. */
-  #read(): number {
-    let left = this.#options.engine.pass_tokens;
-    for (const work of this.#active) {
-      const piece = Math.min(left, work.unread);
-      work.unread -= piece;
-      left -= piece;
+  /**
+   * Prefills prompts in order, up to the limit of one pass. Returns the number
+   * of tokens prefilled.
+   */
+  #prefill(): number {
+    let remainingTokens = this.#options.engine.pass_tokens;
+    for (const request of this.#active) {
+      const tokens = Math.min(remainingTokens, request.pendingPromptTokens);
+      request.pendingPromptTokens -= tokens;
+      remainingTokens -= tokens;
     }
-    return this.#options.engine.pass_tokens - left;
+    return this.#options.engine.pass_tokens - remainingTokens;
   }
 
-  /** A prompt that was read to its end gives its first token at once. */
-  #begin(writers: EngineWork[]): void {
-    const begun = this.#active.filter((work) =>
-      work.unread === 0 && !writers.includes(work)
+  /** Emits the first token of each request whose prefill has just completed. */
+  #emitFirstTokens(decoding: EngineRequest[]): void {
+    const prefilled = this.#active.filter((request) =>
+      request.pendingPromptTokens === 0 && !decoding.includes(request)
     );
-    for (const work of begun) {
-      work.unwritten -= 1;
-      work.onEvent();
-      if (work.unwritten <= 0) this.#end(work);
+    for (const request of prefilled) {
+      request.pendingAnswerTokens -= 1;
+      request.onEvent();
+      if (request.pendingAnswerTokens <= 0) this.#finish(request);
     }
   }
 
-  #write(writers: EngineWork[]): void {
+  #decode(decoding: EngineRequest[]): void {
     const { steps_per_pass } = this.#options.engine;
-    for (const work of writers) {
-      if (!this.#active.includes(work)) continue;
-      work.unwritten -= steps_per_pass;
-      work.onEvent();
-      if (work.unwritten <= 0) this.#end(work);
+    for (const request of decoding) {
+      if (!this.#active.includes(request)) continue;
+      request.pendingAnswerTokens -= steps_per_pass;
+      request.onEvent();
+      if (request.pendingAnswerTokens <= 0) this.#finish(request);
     }
   }
 
-  #end(work: EngineWork): void {
-    this.drop(work);
-    work.onEnd(true);
+  #finish(request: EngineRequest): void {
+    this.remove(request);
+    request.onEnd(true);
   }
 }
--- a/packages/experiments/src/heavy/modelled_engine_test.ts
+++ b/packages/experiments/src/heavy/modelled_engine_test.ts
@@ -14,17 +14,20 @@
   pass_tokens: 2_000,
 };
 
-/** Times of the events of calls of 1,000 prompt and 11 answer tokens. */
-function play(ranks: number[]): number[][] {
+/**
+ * Runs one call of 1,000 prompt and 11 answer tokens for each rank. Returns the
+ * times of each call's events.
+ */
+function recordEventTimes(ranks: number[]): number[][] {
   const events = new EventQueue();
   const engine = new ModelledEngine({ events, engine: ENGINE });
   const times = ranks.map(() => [] as number[]);
   ranks.forEach((rank, index) => {
-    engine.take({
+    engine.tryEnqueue({
       call: {} as ModelledCall,
       rank,
-      unread: 1_000,
-      unwritten: 11,
+      pendingPromptTokens: 1_000,
+      pendingAnswerTokens: 11,
       onEvent: () => times[index]!.push(events.now),
       onEnd: () => undefined,
     });
@@ -33,18 +36,18 @@
   return times;
 }
 
-test("the first event comes when the prompt is read, the others every pass", () => {
-  assert.deepEqual(play([1]), [[50, 100, 150]]);
+test("the first event follows the prefill, the others each pass", () => {
+  assert.deepEqual(recordEventTimes([1]), [[50, 100, 150]]);
 });
 
-test("another's prompt holds up what is being written", () => {
-  const [first, second] = play([1, 1]);
+test("the prefill of another call's prompt delays decoding", () => {
+  const [first, second] = recordEventTimes([1, 1]);
   assert.equal(first![0], 50);
   assert.deepEqual(second!.slice(0, 1), [150]);
   assert.equal(first![1], 150);
 });
 
-test("a call of a better rank goes ahead of those that wait", () => {
-  const [, , late, timely] = play([1, 1, 6, 1]);
+test("a call of lower rank is served before waiting ones of higher rank", () => {
+  const [, , late, timely] = recordEventTimes([1, 1, 6, 1]);
   assert.ok(timely![0]! < late![0]!);
 });
