--- a/packages/experiments/src/spread/spread_curve.ts
+++ b/packages/experiments/src/spread/print_spread_curve.ts
@@ -8,90 +8,103 @@
 import type { SpreadWeighing } from "@teaselrouter/core/spread/spread_weighing.ts";
 import { SwapPolicy } from "@teaselrouter/core/spread/swap_policy.ts";
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
-import { FluidSpread } from "./fluid_spread.ts";
+import { FluidSpreadModel } from "./fluid_spread_model.ts";
 import { OriginOnlyPolicy } from "./origin_only_policy.ts";
-import { spreadBounds } from "./spread_bounds.ts";
+import { computeSpreadBounds } from "./compute_spread_bounds.ts";
 
-const HOST_LINK = 2;
-const ORIGIN_LINK = 4;
-const LIMIT = 30;
+/** Bandwidths, in copies of the weights per unit of time. */
+const HOST_BANDWIDTH = 2;
+const ORIGIN_BANDWIDTH = 4;
+const MAX_TIME = 30;
 const SEED = 5;
 
 type Options = {
   dataCentres: number;
-  regionLink: number;
-  sizes: number[];
+  regionBandwidth: number;
+  hostCounts: number[];
   chunks: number;
-  /** Planner settings to try instead of the usual ones. */
-  trial?: Record<string, number>;
+  /** Planner options that replace the default ones. */
+  overrides?: Record<string, number>;
 };
 
-function randomOf(dataCentre: string): () => number {
+function createRandom(dataCentre: string): () => number {
   return seededRandom(SEED + Number(dataCentre.slice(2)));
 }
 
-function swapping(
+function createPolicyFactory(
   weighing: SpreadWeighing,
   options: Options,
   rankingFor: (random: () => number) => ChunkRanking,
 ) {
   return (dataCentre: string): SpreadPolicy => {
-    const random = randomOf(dataCentre);
+    const random = createRandom(dataCentre);
     return new SwapPolicy({
       weighing,
       random,
       ranking: rankingFor(random),
       ...defaultSpreadOptions,
-      ...options.trial,
+      ...options.overrides,
     });
   };
 }
 
-/** Prints time and copies over N for each policy, beside the bounds. */
-export function spreadCurve(options: Options): void {
-  const { dataCentres, regionLink, chunks } = options;
+/**
+ * Prints the time and the copies of the weights transferred, by number of hosts
+ * and policy, and the lower bounds of the time.
+ */
+export function printSpreadCurve(options: Options): void {
+  const { dataCentres, regionBandwidth, chunks } = options;
   const rarest = () => new RarestRanking();
   const policies: Record<string, (dataCentre: string) => SpreadPolicy> = {
-    "rarest, time": swapping("time", options, rarest),
-    "rarest, bytes": swapping("origin-bytes", options, rarest),
-    "random, time": swapping(
+    "rarest, time": createPolicyFactory("time", options, rarest),
+    "rarest, bytes": createPolicyFactory("origin-bytes", options, rarest),
+    "random, time": createPolicyFactory(
       "time",
       options,
       (random) => new RandomRanking(random),
     ),
-    "in order, time": swapping("time", options, () => new InOrderRanking()),
+    "in order, time": createPolicyFactory(
+      "time",
+      options,
+      () => new InOrderRanking(),
+    ),
     "origin only": () => new OriginOnlyPolicy(),
   };
   const links = {
     dataCentres,
-    hostLink: HOST_LINK,
-    originLink: ORIGIN_LINK,
-    regionLink,
+    hostBandwidth: HOST_BANDWIDTH,
+    originBandwidth: ORIGIN_BANDWIDTH,
+    regionBandwidth,
   };
-  const rows = options.sizes.flatMap((hosts) =>
+  const rows = options.hostCounts.flatMap((hosts) =>
     Object.entries(policies).map(([name, policyFor]) => {
-      const model = new FluidSpread({ ...links, hosts, chunks, policyFor });
-      const result = model.run(LIMIT);
+      const model = new FluidSpreadModel({
+        ...links,
+        hosts,
+        chunks,
+        policyFor,
+      });
+      const result = model.run(MAX_TIME);
       return [
         hosts,
         name,
-        result.time === Infinity ? `>${LIMIT}` : result.time.toFixed(3),
+        result.time === Infinity ? `>${MAX_TIME}` : result.time.toFixed(3),
         result.originCopies.toFixed(2),
-        result.mostCrossings.toFixed(2),
+        result.maxInboundCopies.toFixed(2),
         result.planMicroseconds.toFixed(1),
       ];
     })
   );
   const bounds = Object.entries(
-    spreadBounds({ ...links, hosts: Math.max(...options.sizes) }),
+    computeSpreadBounds({ ...links, hosts: Math.max(...options.hostCounts) }),
   ).map(([name, time]) => `${name} ${time.toFixed(3)}`);
   console.log(
     `\nseed ${SEED}; ${dataCentres} data centres, ${chunks} chunks, ` +
-      `region link ${regionLink} copies a unit of time`,
+      `region link ${regionBandwidth} copies per unit of time`,
   );
-  console.log(`least time by: ${bounds.join(", ")}`);
+  console.log(`lower bounds of the time: ${bounds.join(", ")}`);
   console.log(formatTable(
-    ["N", "POLICY", "TIME", "ORIGIN COPIES", "CROSSED", "US A PLAN"],
+    ["N", "POLICY", "TIME", "ORIGIN COPIES", "INBOUND", "US/PLAN"],
     rows,
   ));
 }
--- a/packages/experiments/src/spread/spread_experiment.ts
+++ b/packages/experiments/src/spread/spread_experiment.ts
@@ -4,17 +4,22 @@
 import { RunningSystem } from "../harness/running_system.ts";
 import { smallTopology } from "../harness/small_topology.ts";
 import type { Topology } from "../harness/topology.ts";
-import { spreadCurve } from "./spread_curve.ts";
+import { printSpreadCurve } from "./print_spread_curve.ts";
 
 const MEGABYTE = 1_048_576;
 const TOTAL_BYTES = 24 * MEGABYTE;
-const SPREAD_SECONDS = 12;
-const HOST_BYTES_PER_SECOND = 2 * TOTAL_BYTES / SPREAD_SECONDS;
-const ORIGIN_BYTES_PER_SECOND = 4 * TOTAL_BYTES / SPREAD_SECONDS;
-const CENTRES = ["van", "kel", "pgr"];
-const REPLICAS = [3, 6, 12, 24];
-const MODEL_SIZES = [90, 180, 360, 720];
-const QUIET_MILLISECONDS = 4_000;
+/**
+ * Unit of time of the bandwidths: in it, a host link transfers two copies of
+ * the weights and the origin four.
+ */
+const TIME_UNIT_SECONDS = 12;
+const HOST_BYTES_PER_SECOND = 2 * TOTAL_BYTES / TIME_UNIT_SECONDS;
+const ORIGIN_BYTES_PER_SECOND = 4 * TOTAL_BYTES / TIME_UNIT_SECONDS;
+const DATA_CENTRES = ["van", "kel", "pgr"];
+const REPLICA_COUNTS = [3, 6, 12, 24];
+const MODELLED_HOST_COUNTS = [90, 180, 360, 720];
+/** How long the load runs before the spread, for comparison. */
+const BASELINE_MILLISECONDS = 4_000;
 const SEED = 11;
 
 type Row = {
@@ -22,24 +27,25 @@
   weighing: string;
   seconds: number;
   originCopies: number;
-  quietP95: number;
+  baselineP95: number;
   spreadP95: number;
+  /** Wrong and cut answers, and calls not run exactly as reported. */
   wrong: number;
 };
 
-function topology(
+function createTopology(
   replicas: number,
   spreadWeighing: Topology["spreadWeighing"],
 ): Topology {
   const dataCentres = Array.from(
     { length: replicas },
-    (_, index) => CENTRES[index % CENTRES.length]!,
+    (_, index) => DATA_CENTRES[index % DATA_CENTRES.length]!,
   );
   return {
     ...smallTopology(HOST_BYTES_PER_SECOND),
     services: [
       { service: "drafter", kind: "engine", dataCentres },
-      { service: "ledger", kind: "unrepeatable", dataCentres: CENTRES },
+      { service: "ledger", kind: "unrepeatable", dataCentres: DATA_CENTRES },
     ],
     spreadWeighing,
     logLevel: "warn",
@@ -51,7 +57,7 @@
   weighing: Topology["spreadWeighing"],
 ): Promise<Row> {
   const system = new RunningSystem({
-    topology: topology(replicas, weighing),
+    topology: createTopology(replicas, weighing),
     model: "drafter",
     totalBytes: TOTAL_BYTES,
     chunkBytes: MEGABYTE / 4,
@@ -69,17 +75,17 @@
   };
   try {
     await system.start();
-    const words = ["contract", "create", "desk", "--rate", "400", "--burst"];
-    await system.client([...words, "100", "--services", "drafter,ledger"]);
+    const args = ["contract", "create", "desk", "--rate", "400", "--burst"];
+    await system.client([...args, "100", "--services", "drafter,ledger"]);
     await system.spread("1", replicas);
-    const quietLoad = system.startLoad(plan);
-    await pause(QUIET_MILLISECONDS);
-    const quiet = await system.endLoad(quietLoad);
+    const baselineLoad = system.startLoad(plan);
+    await pause(BASELINE_MILLISECONDS);
+    const baseline = await system.endLoad(baselineLoad);
     const load = system.startLoad({ ...plan, seed: SEED + 1 });
     const spread = await system.spread("2", replicas);
-    const busy = await system.endLoad(load);
-    const faults = findRunFaults(busy, await system.record());
-    const wrong = Object.values(busy.services).reduce(
+    const duringSpread = await system.endLoad(load);
+    const faults = findRunFaults(duringSpread, await system.record());
+    const wrong = Object.values(duringSpread.services).reduce(
       (sum, row) => sum + row.wrong + row.cut,
       faults.length,
     );
@@ -87,8 +93,8 @@
       replicas,
       weighing,
       ...spread,
-      quietP95: quiet.services["drafter"]!.p95,
-      spreadP95: busy.services["drafter"]!.p95,
+      baselineP95: baseline.services["drafter"]!.p95,
+      spreadP95: duringSpread.services["drafter"]!.p95,
       wrong,
     };
   } finally {
@@ -96,16 +102,20 @@
   }
 }
 
-/** Time to N replicas and origin copies, ours beside the naive and bounds. */
+/**
+ * Measures the time until N replicas are live and the copies fetched from the
+ * origin, and prints them with lower bounds and the time of the baseline, in
+ * which every host fetches from the origin. Then prints the modelled curves.
+ */
 export async function spreadExperiment(): Promise<boolean> {
   const rows: Row[] = [];
-  for (const replicas of REPLICAS) {
+  for (const replicas of REPLICA_COUNTS) {
     rows.push(await measure(replicas, "time"));
   }
   rows.push(await measure(12, "origin-bytes"));
   const bound = TOTAL_BYTES / HOST_BYTES_PER_SECOND;
   console.log(
-    `seed ${SEED}; real processes, 3 data centres, 24 MiB; least time: ` +
+    `seed ${SEED}; real processes, 3 data centres, 24 MiB; lower bounds: ` +
       `origin ${TOTAL_BYTES / ORIGIN_BYTES_PER_SECOND} s, host link ${bound} s`,
   );
   console.log(formatTable(
@@ -116,8 +126,8 @@
       "/HOST LINK",
       "NAIVE S",
       "ORIGIN",
-      "P95 QUIET",
-      "P95 MS",
+      "P95 BEFORE",
+      "P95 DURING",
       "WRONG",
     ],
     rows.map((row) => [
@@ -127,13 +137,17 @@
       (row.seconds / bound).toFixed(2),
       (row.replicas * TOTAL_BYTES / ORIGIN_BYTES_PER_SECOND).toFixed(0),
       row.originCopies.toFixed(2),
-      row.quietP95,
+      row.baselineP95,
       row.spreadP95,
       row.wrong,
     ]),
   ));
-  const fluid = { regionLink: 1.1, sizes: MODEL_SIZES, chunks: 96 };
-  spreadCurve({ ...fluid, dataCentres: 3 });
-  spreadCurve({ ...fluid, dataCentres: 7 });
+  const modelOptions = {
+    regionBandwidth: 1.1,
+    hostCounts: MODELLED_HOST_COUNTS,
+    chunks: 96,
+  };
+  printSpreadCurve({ ...modelOptions, dataCentres: 3 });
+  printSpreadCurve({ ...modelOptions, dataCentres: 7 });
   return rows.every((row) => row.wrong === 0);
 }
--- a/packages/experiments/src/spread/spread_faults_test.ts
+++ b/packages/experiments/src/spread/spread_faults_test.ts
@@ -5,24 +5,29 @@
 import { SwapPolicy } from "@teaselrouter/core/spread/swap_policy.ts";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { FluidSpread } from "./fluid_spread.ts";
-import { spreadBounds } from "./spread_bounds.ts";
+import { FluidSpreadModel } from "./fluid_spread_model.ts";
+import { computeSpreadBounds } from "./compute_spread_bounds.ts";
 
 const SEED = 9;
 const CHUNKS = 96;
-const LIMIT = 10;
-const GIVE_UP_TIME = 0.05;
-const LINKS = { dataCentres: 3, hostLink: 2, originLink: 4, regionLink: 1.1 };
+const MAX_TIME = 10;
+const TRANSFER_TIMEOUT = 0.05;
+const NETWORK = {
+  dataCentres: 3,
+  hostBandwidth: 2,
+  originBandwidth: 4,
+  regionBandwidth: 1.1,
+};
 
-type Step = (model: FluidSpread, time: number) => void;
+type OnStep = (model: FluidSpreadModel, time: number) => void;
 
-function modelOf(
+function createModel(
   hosts: number,
   weighing: SpreadWeighing,
-  onStep?: Step,
-): FluidSpread {
-  return new FluidSpread({
-    ...LINKS,
+  onStep?: OnStep,
+): FluidSpreadModel {
+  return new FluidSpreadModel({
+    ...NETWORK,
     hosts,
     chunks: CHUNKS,
     policyFor: (dataCentre) => {
@@ -37,131 +42,141 @@
   });
 }
 
-/** Runs `act` once, when the hosts hold half of the model on average. */
-function halfway(act: (model: FluidSpread) => void, then?: Step): Step {
-  let acted = false;
+/** Runs `act` once, when the hosts hold half of the weights on average. */
+function actHalfway(
+  act: (model: FluidSpreadModel) => void,
+  then?: OnStep,
+): OnStep {
+  let hasActed = false;
   return (model, time) => {
-    if (!acted && model.progress >= 0.5) {
-      acted = true;
+    if (!hasActed && model.progress >= 0.5) {
+      hasActed = true;
       act(model);
     }
     then?.(model, time);
   };
 }
 
-test("weighing time, all hold it within 1.25 x the least time", () => {
+test("weighing time, all hosts complete within 1.25 x the lower bound", () => {
   console.log(`seed ${SEED}`);
   for (const hosts of [24, 90, 180, 360]) {
-    const { time } = modelOf(hosts, "time").run(LIMIT);
-    const bounds = Object.values(spreadBounds({ ...LINKS, hosts }));
-    // Weighing time the region link need not carry a whole share.
-    const least = Math.max(bounds[0]!, bounds[1]!, bounds[2]!, bounds[4]!);
-    console.log(`N=${hosts}: ${(time / least).toFixed(2)} x the least time`);
-    assert.ok(time <= 1.25 * least, `N=${hosts} took ${time}`);
+    const { time } = createModel(hosts, "time").run(MAX_TIME);
+    const bounds = Object.values(computeSpreadBounds({ ...NETWORK, hosts }));
+    // With the weighing "time", the region link does not have to carry a data
+    // centre's whole share of remote chunks, so its bound does not apply.
+    const lowerBound = Math.max(bounds[0]!, bounds[1]!, bounds[2]!, bounds[4]!);
+    console.log(
+      `N=${hosts}: ${(time / lowerBound).toFixed(2)} x the lower bound`,
+    );
+    assert.ok(time <= 1.25 * lowerBound, `N=${hosts} took ${time}`);
   }
 });
 
-test("weighing origin bytes, each chunk is drawn and crosses once", () => {
+test("weighing origin bytes, each chunk is fetched and crosses once", () => {
   for (const hosts of [24, 180]) {
-    const result = modelOf(hosts, "origin-bytes").run(LIMIT);
-    assert.ok(result.time < LIMIT);
+    const result = createModel(hosts, "origin-bytes").run(MAX_TIME);
+    assert.ok(result.time < MAX_TIME);
     assert.ok(result.originCopies <= 1.05, `${result.originCopies} copies`);
-    assert.ok(result.mostCrossings <= 1.05, `${result.mostCrossings} crossed`);
+    assert.ok(
+      result.maxInboundCopies <= 1.05,
+      `${result.maxInboundCopies} crossed`,
+    );
   }
 });
 
-test("sources that die halfway cost time, not completeness", () => {
-  // Story: a rack goes in the middle of a spread: every fourth host dies
-  // with all that it held and was sending. The rest still get everything.
-  const model = modelOf(
+test("the other hosts complete after a quarter fails halfway", () => {
+  // In the middle of a spread every fourth host fails, as when a rack loses
+  // power, with all chunks that it holds and is sending. All other hosts must
+  // still receive every chunk.
+  const model = createModel(
     48,
     "time",
-    halfway((spread) => {
+    actHalfway((spread) => {
       for (let host = 0; host < 48; host += 4) spread.removeHost(`h${host}`);
     }),
   );
-  const { time } = model.run(LIMIT);
-  console.log(`a quarter dies: ${time.toFixed(3)}`);
-  assert.ok(time < LIMIT);
+  const { time } = model.run(MAX_TIME);
+  console.log(`a quarter of the hosts fails: ${time.toFixed(3)}`);
+  assert.ok(time < MAX_TIME);
 });
 
-test("links that stall without closing are given up and avoided", () => {
-  // Story: some hosts stop sending but keep their connections open. Agents
-  // give such fetches up by a timeout, and the planner finds other sources.
-  let lastGivenUp = 0;
-  const model = modelOf(
+test("stalled transfers time out and their sources are avoided", () => {
+  // Some hosts stop sending but keep their connections open. Agents end such
+  // fetches by a timeout, and the planner must choose other sources.
+  let lastTimeoutAt = 0;
+  const model = createModel(
     48,
     "time",
-    halfway(
+    actHalfway(
       (spread) => {
         for (const host of ["h3", "h7", "h10", "h14"]) spread.stalled.add(host);
       },
       (spread, time) => {
-        if (time - lastGivenUp < GIVE_UP_TIME) return;
-        lastGivenUp = time;
-        spread.failBlocked(time + LIMIT);
+        if (time - lastTimeoutAt < TRANSFER_TIMEOUT) return;
+        lastTimeoutAt = time;
+        spread.failBlockedTransfers(time + MAX_TIME);
       },
     ),
   );
-  assert.ok(model.run(LIMIT).time < LIMIT);
+  assert.ok(model.run(MAX_TIME).time < MAX_TIME);
 });
 
-test("a lost coordinator is replaced from the agents' reports", () => {
-  const model = modelOf(
+test("a new coordinator continues from the agents' reports", () => {
+  const model = createModel(
     48,
     "origin-bytes",
-    halfway((spread) => spread.loseCoordinator("dc1")),
+    actHalfway((spread) => spread.replaceCoordinator("dc1")),
   );
-  const result = model.run(LIMIT);
-  assert.ok(result.time < LIMIT);
-  // What was under way is fetched again; what was held is not.
+  const result = model.run(MAX_TIME);
+  assert.ok(result.time < MAX_TIME);
+  // Chunks in transfer are fetched again; chunks held already are not.
   assert.ok(result.originCopies <= 1.1, `${result.originCopies} copies`);
 });
 
-test("with the origin away, what is inside still spreads", () => {
-  // Story: the origin goes away halfway and comes back later. Meanwhile
-  // chunks that some host holds go on to the others, and its return brings
-  // the rest.
-  let away = 0;
-  let before = 0;
+test("without the origin, chunks that hosts hold still spread", () => {
+  // The origin is down from the middle of a spread until later. Meanwhile the
+  // chunks that some host holds must spread to the others; once the origin is
+  // back, the remaining chunks must follow.
+  let stepsWithoutOrigin = 0;
+  let progressBefore = 0;
   let gained = 0;
-  const model = modelOf(
+  const model = createModel(
     48,
     "time",
-    halfway(
+    actHalfway(
       (spread) => {
-        spread.originAway = true;
-        before = spread.progress;
+        spread.isOriginDown = true;
+        progressBefore = spread.progress;
       },
       (spread) => {
-        if (!spread.originAway) return;
-        away += 1;
-        gained = spread.progress - before;
-        if (away > 200) spread.originAway = false;
+        if (!spread.isOriginDown) return;
+        stepsWithoutOrigin += 1;
+        gained = spread.progress - progressBefore;
+        if (stepsWithoutOrigin > 200) spread.isOriginDown = false;
       },
     ),
   );
-  assert.ok(model.run(LIMIT).time < LIMIT);
-  console.log(`gained ${gained.toFixed(2)} of the model with no origin`);
+  assert.ok(model.run(MAX_TIME).time < MAX_TIME);
+  console.log(`gained ${gained.toFixed(2)} of the weights without the origin`);
   assert.ok(gained > 0.05);
 });
 
-test("a data centre cut off halfway completes after healing", () => {
-  let cutFor = 0;
-  let lastGivenUp = 0;
-  const model = modelOf(
+test("a data centre cut off halfway completes after it is reconnected", () => {
+  let isolatedSteps = 0;
+  let lastTimeoutAt = 0;
+  const model = createModel(
     48,
     "origin-bytes",
-    halfway(
+    actHalfway(
       (spread) => spread.cutOff.add("dc2"),
       (spread, time) => {
-        if (spread.cutOff.size > 0) cutFor += 1;
-        if (cutFor > 150) spread.cutOff.clear();
-        if (time - lastGivenUp < GIVE_UP_TIME) return;
-        lastGivenUp = time;
-        spread.failBlocked(time + GIVE_UP_TIME);
+        if (spread.cutOff.size > 0) isolatedSteps += 1;
+        if (isolatedSteps > 150) spread.cutOff.clear();
+        if (time - lastTimeoutAt < TRANSFER_TIMEOUT) return;
+        lastTimeoutAt = time;
+        spread.failBlockedTransfers(time + TRANSFER_TIMEOUT);
       },
     ),
   );
-  assert.ok(model.run(LIMIT).time < LIMIT);
+  assert.ok(model.run(MAX_TIME).time < MAX_TIME);
 });
