--- a/packages/experiments/src/overload/event_queue.ts
+++ b/packages/experiments/src/overload/event_queue.ts
@@ -1,24 +1,30 @@
 type Event = { at: number; order: number; run: () => void };
 
-/** Events in the order of their time; equal times in the order they came. */
+/**
+ * Discrete-event queue with a simulated clock. Runs events in order of time,
+ * and events of the same time in the order in which they were added.
+ */
 export class EventQueue {
+  /** Simulated time, milliseconds. */
   now = 0;
   #heap: Event[] = [];
   #order = 0;
 
+  /** Schedules `run` in the given time from now. */
   after(milliseconds: number, run: () => void): void {
     this.#order += 1;
     this.#heap.push({ at: this.now + milliseconds, order: this.#order, run });
-    this.#rise(this.#heap.length - 1);
+    this.#siftUp(this.#heap.length - 1);
   }
 
+  /** Runs all events up to `end` and sets the clock to it. */
   runUntil(end: number): void {
     while (this.#heap.length > 0 && this.#heap[0]!.at <= end) {
       const event = this.#heap[0]!;
       const last = this.#heap.pop()!;
       if (this.#heap.length > 0) {
         this.#heap[0] = last;
-        this.#sink(0);
+        this.#siftDown(0);
       }
       this.now = event.at;
       event.run();
@@ -33,12 +39,12 @@
   }
 
   #swap(left: number, right: number): void {
-    const held = this.#heap[left]!;
+    const moved = this.#heap[left]!;
     this.#heap[left] = this.#heap[right]!;
-    this.#heap[right] = held;
+    this.#heap[right] = moved;
   }
 
-  #rise(from: number): void {
+  #siftUp(from: number): void {
     let at = from;
     while (at > 0) {
       const parent = (at - 1) >> 1;
@@ -48,17 +54,17 @@
     }
   }
 
-  #sink(from: number): void {
+  #siftDown(from: number): void {
     let at = from;
     while (true) {
-      let least = at;
+      let earliest = at;
       for (const child of [2 * at + 1, 2 * at + 2]) {
-        const inside = child < this.#heap.length;
-        if (inside && this.#isBefore(child, least)) least = child;
+        const isInHeap = child < this.#heap.length;
+        if (isInHeap && this.#isBefore(child, earliest)) earliest = child;
       }
-      if (least === at) return;
-      this.#swap(at, least);
-      at = least;
+      if (earliest === at) return;
+      this.#swap(at, earliest);
+      at = earliest;
     }
   }
 }
--- a/packages/experiments/src/overload/overload_processes.ts
+++ b/packages/experiments/src/overload/measure_overload.ts
@@ -7,12 +7,18 @@
 const SEED = 21;
 const SECONDS = 8;
 const DEADLINE_MILLISECONDS = 1_000;
-/** Calls a second: about half, 1, 2 and 3 times what three engines take. */
+/**
+ * Calls per second: about half, 1, 2 and 3 times the capacity of the three
+ * engines.
+ */
 const RATES = [200, 400, 800, 1_200];
 const ENGINES = 3;
 
-/** The same overload on real processes: three engines of eight slots. */
-export async function overloadProcesses(): Promise<boolean> {
+/**
+ * Measures overload on real processes, with three engines of eight slots.
+ * Returns whether no answer was wrong or cut.
+ */
+export async function measureOverload(): Promise<boolean> {
   const system = new RunningSystem({
     topology: {
       ...smallTopology(0),
--- a/packages/experiments/src/overload/modelled_backend.ts
+++ b/packages/experiments/src/overload/modelled_backend.ts
@@ -1,25 +1,27 @@
 import { admitToQueue } from "@teaselrouter/core/routing/admit_to_queue.ts";
 import type { EventQueue } from "./event_queue.ts";
 
-const LEARNING_SHARE = 0.05;
+/** Weight of the latest call in the moving average of service times. */
+const LATEST_DURATION_WEIGHT = 0.05;
 
 type Options = {
   name: string;
   slots: number;
   meanMilliseconds: number;
-  /** Answers every call with an error, at once. */
+  /** Whether every call fails at once. */
   failsFast: boolean;
-  /** Whether calls that can't be in time are refused. */
+  /** Whether calls that can't be answered in time are refused on arrival. */
   refusesEarly: boolean;
 };
 
 type Call = {
   deadlineAt: number;
-  work: number;
-  end: (outcome: "answered" | "failed" | "refused") => void;
+  /** Service time, as a multiple of the mean. */
+  serviceTimeFactor: number;
+  onEnd: (outcome: "answered" | "failed" | "refused") => void;
 };
 
-/** A backend server with its agent's queue, in modelled time. */
+/** Simulates a backend server and its agent's queue. */
 export class ModelledBackend {
   readonly options: Options;
   #events: EventQueue;
@@ -41,16 +43,19 @@
     };
   }
 
-  take(call: Call): void {
+  accept(call: Call): void {
     if (this.options.failsFast) {
-      this.#events.after(1, () => call.end("failed"));
+      this.#events.after(1, () => call.onEnd("failed"));
       return;
     }
     const { slots, refusesEarly } = this.options;
-    const left = call.deadlineAt - this.#events.now;
-    const wait = admitToQueue({ ...this.load, slots }, left);
-    if (refusesEarly && wait > 0) {
-      call.end("refused");
+    const deadlineLeft = call.deadlineAt - this.#events.now;
+    const retryAfterMilliseconds = admitToQueue(
+      { ...this.load, slots },
+      deadlineLeft,
+    );
+    if (refusesEarly && retryAfterMilliseconds > 0) {
+      call.onEnd("refused");
       return;
     }
     if (this.#running < slots) this.#start(call);
@@ -59,12 +64,13 @@
 
   #start(call: Call): void {
     this.#running += 1;
-    const milliseconds = call.work * this.options.meanMilliseconds;
-    this.#events.after(milliseconds, () => {
+    const durationMilliseconds = call.serviceTimeFactor *
+      this.options.meanMilliseconds;
+    this.#events.after(durationMilliseconds, () => {
       this.#running -= 1;
-      this.#serviceMilliseconds += LEARNING_SHARE *
-        (milliseconds - this.#serviceMilliseconds);
-      call.end("answered");
+      this.#serviceMilliseconds += LATEST_DURATION_WEIGHT *
+        (durationMilliseconds - this.#serviceMilliseconds);
+      call.onEnd("answered");
       const next = this.#queue.shift();
       if (next !== undefined) this.#start(next);
     });
--- a/packages/experiments/src/overload/overload_experiment.ts
+++ b/packages/experiments/src/overload/overload_experiment.ts
@@ -1,31 +1,39 @@
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 import { OverloadModel } from "./overload_model.ts";
-import { overloadProcesses } from "./overload_processes.ts";
+import { measureOverload } from "./measure_overload.ts";
 
 const SEEDS = [1, 2, 3];
 
-const SCENES = [
-  { name: "0.8 x", load: 0.8, withSlow: false, withBlackHole: false },
-  { name: "0.8 x, slow one", load: 0.8, withSlow: true, withBlackHole: false },
+const SCENARIOS = [
+  { name: "0.8 x", load: 0.8, hasSlowBackend: false, hasBlackHole: false },
+  {
+    name: "0.8 x, slow one",
+    load: 0.8,
+    hasSlowBackend: true,
+    hasBlackHole: false,
+  },
   {
     name: "0.6 x, black hole",
     load: 0.6,
-    withSlow: false,
-    withBlackHole: true,
+    hasSlowBackend: false,
+    hasBlackHole: true,
   },
-  { name: "3 x", load: 3, withSlow: false, withBlackHole: false },
-  { name: "3 x, both", load: 3, withSlow: true, withBlackHole: true },
+  { name: "3 x", load: 3, hasSlowBackend: false, hasBlackHole: false },
+  { name: "3 x, both", load: 3, hasSlowBackend: true, hasBlackHole: true },
 ];
 
-/** Goodput, late answers and refusals, ours beside the naive twin. */
+/**
+ * Prints goodput, late answers and refusals under overload, of the product and
+ * of a naive baseline, in a simulation; then measures real processes.
+ */
 export async function overloadExperiment(): Promise<boolean> {
-  const rows = SCENES.flatMap(({ name, ...scene }) =>
-    [true, false].flatMap((ours) =>
+  const rows = SCENARIOS.flatMap(({ name, ...scene }) =>
+    [true, false].flatMap((usesProduct) =>
       SEEDS.map((seed) => {
-        const result = new OverloadModel({ ...scene, seed, ours }).run();
+        const result = new OverloadModel({ ...scene, seed, usesProduct }).run();
         return [
           name,
-          ours ? "ours" : "naive",
+          usesProduct ? "product" : "naive",
           seed,
           result.goodput.toFixed(3),
           result.late,
@@ -39,11 +47,13 @@
       })
     )
   );
-  console.log("12 backend servers, 4 entry hosts, reports 200 ms late");
+  console.log(
+    "12 backend servers, 4 entry hosts, load reports delayed by 200 ms",
+  );
   console.log(formatTable(
     [
       "LOAD",
-      "WHO",
+      "POLICY",
       "SEED",
       "GOOD",
       "LATE",
@@ -56,5 +66,5 @@
     ],
     rows,
   ));
-  return await overloadProcesses();
+  return await measureOverload();
 }
--- a/packages/experiments/src/overload/overload_model.ts
+++ b/packages/experiments/src/overload/overload_model.ts
@@ -12,44 +12,49 @@
 import { EventQueue } from "./event_queue.ts";
 import { ModelledBackend } from "./modelled_backend.ts";
 
-const ENTRIES = 4;
+const ENTRY_HOSTS = 4;
 const BACKENDS = 12;
 const SLOTS = 4;
 const MEAN_MILLISECONDS = 100;
 const DEADLINE_MILLISECONDS = 1_000;
-const HOP_MILLISECONDS = 1;
-const REPORT_MILLISECONDS = 500;
+const HOP_LATENCY_MILLISECONDS = 1;
+const REPORT_INTERVAL_MILLISECONDS = 500;
 const REPORT_LAG_MILLISECONDS = 200;
 const RUN_MILLISECONDS = 30_000;
 const NAIVE_RETRIES = 3;
 
 type Options = {
   seed: number;
-  /** Times the capacity of the backend servers. */
+  /** Call rate, as a multiple of the capacity of the backend servers. */
   load: number;
-  ours: boolean;
-  /** One backend server takes five times as long. */
-  withSlow: boolean;
-  /** One fails every call at once. */
-  withBlackHole: boolean;
+  /**
+   * Whether entry hosts and backend servers route, retry and refuse calls as
+   * the product does, or as the naive baseline does.
+   */
+  usesProduct: boolean;
+  /** Whether one backend server takes five times as long. */
+  hasSlowBackend: boolean;
+  /** Whether another backend server fails every call at once. */
+  hasBlackHole: boolean;
 };
 
 type Result = {
-  /** Answers within the deadline, as a part of the capacity. */
+  /** Answers within the deadline, as a share of the capacity. */
   goodput: number;
   late: number;
   refused: number;
   failed: number;
   calls: number;
   retries: number;
+  /** Time to an answer, milliseconds. */
   p50: number;
   p95: number;
   p99: number;
-  /** Longest time until a refusal was answered, milliseconds. */
+  /** Longest time from a call to its refusal, milliseconds. */
   slowestRefusal: number;
 };
 
-type Entry = {
+type EntryHost = {
   table: BackendServerTable;
   router: Router;
   outliers: OutlierDetector;
@@ -57,17 +62,17 @@
 };
 
 /**
- * Routing under load in modelled time: lagging reports, several entry hosts
- * that know nothing of each other, and the naive twin (round robin, queues
- * without bound, three retries) on the same arrivals.
+ * Simulates routing under load: delayed load reports, several entry hosts that
+ * know nothing of each other, and for comparison a naive baseline (round robin,
+ * unbounded queues, three retries) with the same arrivals.
  */
 export class OverloadModel {
   #options: Options;
   #events = new EventQueue();
   #random: () => number;
   #backends: ModelledBackend[] = [];
-  #entries: Entry[] = [];
-  #times = build();
+  #entryHosts: EntryHost[] = [];
+  #answerTimes = build();
   #counts = { good: 0, late: 0, refused: 0, failed: 0, calls: 0, retries: 0 };
   #slowestRefusal = 0;
 
@@ -75,43 +80,43 @@
     this.#options = options;
     this.#random = seededRandom(options.seed);
     for (let index = 0; index < BACKENDS; index += 1) this.#addBackend(index);
-    for (let index = 0; index < ENTRIES; index += 1) this.#addEntry();
+    for (let index = 0; index < ENTRY_HOSTS; index += 1) this.#addEntryHost();
   }
 
   run(): Result {
     const capacity = BACKENDS * SLOTS / MEAN_MILLISECONDS;
-    this.#arrive(capacity * this.#options.load);
-    for (const backend of this.#backends) this.#report(backend);
+    this.#scheduleNextCall(capacity * this.#options.load);
+    for (const backend of this.#backends) this.#sendLoadReports(backend);
     this.#events.runUntil(RUN_MILLISECONDS);
     const { good, ...rest } = this.#counts;
     return {
       ...rest,
       goodput: good / RUN_MILLISECONDS / capacity,
-      p50: this.#times.getValueAtPercentile(50),
-      p95: this.#times.getValueAtPercentile(95),
-      p99: this.#times.getValueAtPercentile(99),
+      p50: this.#answerTimes.getValueAtPercentile(50),
+      p95: this.#answerTimes.getValueAtPercentile(95),
+      p99: this.#answerTimes.getValueAtPercentile(99),
       slowestRefusal: this.#slowestRefusal,
     };
   }
 
   #addBackend(index: number): void {
-    const { ours, withSlow, withBlackHole } = this.#options;
-    const slow = withSlow && index === 0;
+    const { usesProduct, hasSlowBackend, hasBlackHole } = this.#options;
+    const isSlow = hasSlowBackend && index === 0;
     this.#backends.push(
       new ModelledBackend(this.#events, {
         name: `b${index}`,
         slots: SLOTS,
-        meanMilliseconds: slow ? MEAN_MILLISECONDS * 5 : MEAN_MILLISECONDS,
-        failsFast: withBlackHole && index === 1,
-        refusesEarly: ours,
+        meanMilliseconds: isSlow ? MEAN_MILLISECONDS * 5 : MEAN_MILLISECONDS,
+        failsFast: hasBlackHole && index === 1,
+        refusesEarly: usesProduct,
       }),
     );
   }
 
-  #addEntry(): void {
+  #addEntryHost(): void {
     const table = new BackendServerTable();
     const outliers = new OutlierDetector();
-    const policy = this.#options.ours
+    const policy = this.#options.usesProduct
       ? new PredictedWaitPolicy({
         random: this.#random,
         dataCentre: "x",
@@ -119,84 +124,93 @@
       })
       : new RoundRobinPolicy();
     const router = new Router({ table, outliers, policy });
-    for (const { options } of this.#backends) table.set(rowOf(options.name));
-    this.#entries.push({ table, outliers, router, retries: new RetryBudget() });
+    for (const { options } of this.#backends) table.set(rowFor(options.name));
+    this.#entryHosts.push({
+      table,
+      outliers,
+      router,
+      retries: new RetryBudget(),
+    });
   }
 
-  #arrive(perMillisecond: number): void {
-    const gap = -Math.log(1 - this.#random()) / perMillisecond;
-    this.#events.after(gap, () => {
-      const entry = this.#entries[Math.floor(this.#random() * ENTRIES)]!;
-      const work = -Math.log(1 - this.#random());
+  #scheduleNextCall(callsPerMillisecond: number): void {
+    const gapMilliseconds = -Math.log(1 - this.#random()) / callsPerMillisecond;
+    this.#events.after(gapMilliseconds, () => {
+      const entry = this.#entryHosts[Math.floor(this.#random() * ENTRY_HOSTS)]!;
+      const serviceTimeFactor = -Math.log(1 - this.#random());
       this.#counts.calls += 1;
       entry.retries.countCall();
       const tried = new Set<string>();
-      this.#send(entry, { work, startedAt: this.#events.now, tried });
-      this.#arrive(perMillisecond);
+      this.#send(entry, {
+        serviceTimeFactor,
+        startedAt: this.#events.now,
+        tried,
+      });
+      this.#scheduleNextCall(callsPerMillisecond);
     });
   }
 
   #send(
-    entry: Entry,
-    call: { work: number; startedAt: number; tried: Set<string> },
+    entry: EntryHost,
+    call: { serviceTimeFactor: number; startedAt: number; tried: Set<string> },
   ): void {
     const now = this.#events.now;
     const deadlineAt = call.startedAt + DEADLINE_MILLISECONDS;
-    const row = this.#choose(entry, call, now);
+    const row = this.#chooseBackend(entry, call, now);
     if (row === undefined) return this.#refuse(call.startedAt);
     call.tried.add(row.backendServer);
     row.ownInFlight += 1;
     const backend = this.#backends.find(({ options }) =>
       options.name === row.backendServer
     )!;
-    this.#events.after(HOP_MILLISECONDS, () =>
-      backend.take({
-        work: call.work,
+    this.#events.after(HOP_LATENCY_MILLISECONDS, () =>
+      backend.accept({
+        serviceTimeFactor: call.serviceTimeFactor,
         deadlineAt,
-        end: (outcome) =>
-          this.#events.after(HOP_MILLISECONDS, () => {
+        onEnd: (outcome) =>
+          this.#events.after(HOP_LATENCY_MILLISECONDS, () => {
             row.ownInFlight -= 1;
-            this.#finish(entry, call, { row, outcome });
+            this.#handleEnd(entry, call, { row, outcome });
           }),
       }));
   }
 
-  #choose(
-    entry: Entry,
+  #chooseBackend(
+    entry: EntryHost,
     call: { startedAt: number; tried: Set<string> },
     now: number,
   ): BackendServerRow | undefined {
-    const left = call.startedAt + DEADLINE_MILLISECONDS - now;
+    const deadlineLeft = call.startedAt + DEADLINE_MILLISECONDS - now;
     const decision = entry.router.route(emptyControlState(), {
       service: "writer",
       prefix: "",
-      // The naive twin sends whatever the wait.
-      deadlineMilliseconds: this.#options.ours ? left : Infinity,
-      tried: this.#options.ours ? call.tried : new Set(),
+      // The naive baseline sends calls however long the predicted wait is.
+      deadlineMilliseconds: this.#options.usesProduct ? deadlineLeft : Infinity,
+      tried: this.#options.usesProduct ? call.tried : new Set(),
       now,
     });
     return decision.kind === "send" ? decision.to : undefined;
   }
 
-  #finish(
-    entry: Entry,
-    call: { work: number; startedAt: number; tried: Set<string> },
+  #handleEnd(
+    entry: EntryHost,
+    call: { serviceTimeFactor: number; startedAt: number; tried: Set<string> },
     end: { row: BackendServerRow; outcome: string },
   ): void {
     const now = this.#events.now;
-    const { ours } = this.#options;
+    const { usesProduct } = this.#options;
     if (end.outcome === "answered") {
-      const took = now - call.startedAt;
-      this.#times.recordValue(Math.round(took));
-      if (took <= DEADLINE_MILLISECONDS) this.#counts.good += 1;
+      const milliseconds = now - call.startedAt;
+      this.#answerTimes.recordValue(Math.round(milliseconds));
+      if (milliseconds <= DEADLINE_MILLISECONDS) this.#counts.good += 1;
       else this.#counts.late += 1;
       entry.outliers.recordSuccess(end.row);
       return;
     }
-    if (ours && end.outcome === "failed") {
+    if (usesProduct && end.outcome === "failed") {
       entry.outliers.recordFailure(end.row, now);
     }
-    const mayRetry = ours
+    const mayRetry = usesProduct
       ? entry.retries.tryRetry()
       : call.tried.size < NAIVE_RETRIES;
     if (mayRetry) {
@@ -208,31 +222,34 @@
 
   #refuse(startedAt: number): void {
     this.#counts.refused += 1;
-    const took = this.#events.now - startedAt;
-    this.#slowestRefusal = Math.max(this.#slowestRefusal, took);
+    const milliseconds = this.#events.now - startedAt;
+    this.#slowestRefusal = Math.max(this.#slowestRefusal, milliseconds);
   }
 
-  #report(backend: ModelledBackend): void {
+  #sendLoadReports(backend: ModelledBackend): void {
     const load = backend.load;
-    const sent = this.#entries.map(({ table }) =>
+    const inFlight = this.#entryHosts.map(({ table }) =>
       table.get(backend.options.name)!.ownInFlight
     );
     this.#events.after(REPORT_LAG_MILLISECONDS, () => {
-      this.#entries.forEach(({ table }, index) => {
+      this.#entryHosts.forEach(({ table }, index) => {
         const row = table.get(backend.options.name)!;
         row.heardAt = this.#events.now;
         row.load = {
           ...load,
-          ownInFlight: sent[index]!,
+          ownInFlight: inFlight[index]!,
           at: this.#events.now,
         };
       });
     });
-    this.#events.after(REPORT_MILLISECONDS, () => this.#report(backend));
+    this.#events.after(
+      REPORT_INTERVAL_MILLISECONDS,
+      () => this.#sendLoadReports(backend),
+    );
   }
 }
 
-function rowOf(name: string): BackendServerRow {
+function rowFor(name: string): BackendServerRow {
   const row = newBackendServerRow({
     backendServer: name,
     dataCentre: "x",
@@ -248,7 +265,7 @@
     accepting: true,
     linkBytesPerSecond: 0,
   }, 0);
-  // It has been up for long: no slow start.
+  // Has accepted calls for a long time, so that slow start does not apply.
   row.acceptingSince = -Infinity;
   row.load.serviceMilliseconds = MEAN_MILLISECONDS;
   return row;
