--- a/packages/experiments/src/control/contract_changer.ts
+++ b/packages/experiments/src/control/contract_changer.ts
@@ -1,38 +1,43 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
 
-type Accepted = { at: number; milliseconds: number };
+/** When a change was accepted, and how long that took. */
+type AcceptedChange = { at: number; milliseconds: number };
 
-const REFUSED_PAUSE_MILLISECONDS = 10;
-const CALL_MILLISECONDS = 10_000;
+const RETRY_PAUSE_MILLISECONDS = 10;
+const CALL_TIMEOUT_MILLISECONDS = 10_000;
 
-/** Changes one contract over and over, as an operator's script would. */
+/** Changes one contract repeatedly, as an operator's script would. */
 export class ContractChanger {
-  readonly accepted: Accepted[] = [];
+  readonly accepted: AcceptedChange[] = [];
   refused = 0;
+  /** Number of the contract after the last accepted change. */
   number = 0;
-  #entry: string;
+  #entryUrl: string;
   #workspace: string;
-  #stopped = false;
+  #isStopped = false;
 
-  constructor(entry: string, workspace: string) {
-    this.#entry = entry;
+  constructor(entryUrl: string, workspace: string) {
+    this.#entryUrl = entryUrl;
     this.#workspace = workspace;
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
   async run(): Promise<void> {
-    while (!this.#stopped) await this.changeOnce();
+    while (!this.#isStopped) await this.changeOnce();
   }
 
-  /** One change; what had no answer is sent again as it was. */
+  /**
+   * Sends one change. If it fails or has no answer, the next call sends the
+   * same change again.
+   */
   async changeOnce(): Promise<void> {
     const startedAt = performance.now();
     try {
       const answer = await fetch(
-        `${this.#entry}/v1/operator/contracts/${this.#workspace}`,
+        `${this.#entryUrl}/v1/operator/contracts/${this.#workspace}`,
         {
           method: "PUT",
           body: JSON.stringify({
@@ -43,7 +48,7 @@
               services: ["portal"],
             },
           }),
-          signal: AbortSignal.timeout(CALL_MILLISECONDS),
+          signal: AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS),
         },
       );
       await answer.text();
@@ -53,7 +58,7 @@
       this.accepted.push({ at, milliseconds: at - startedAt });
     } catch {
       this.refused += 1;
-      await pause(REFUSED_PAUSE_MILLISECONDS);
+      await pause(RETRY_PAUSE_MILLISECONDS);
     }
   }
 
--- a/packages/experiments/src/control/contract_experiment.ts
+++ b/packages/experiments/src/control/contract_experiment.ts
@@ -6,17 +6,20 @@
 import type { RunningSystem } from "../harness/running_system.ts";
 import { waitUntil } from "../harness/wait_until.ts";
 import { ContractChanger } from "./contract_changer.ts";
-import { plainSystem } from "./plain_system.ts";
+import { createPortalSystem } from "./create_portal_system.ts";
 
 const CHANGES = 300;
 const CLAIM_SECONDS = 3;
 const CONCURRENCIES = [1, 16, 128, 512];
-const MICROSECONDS = 1_000;
-const CONNECT_MILLISECONDS = 10_000;
+const MICROSECONDS_PER_MILLISECOND = 1_000;
+const CONNECT_TIMEOUT_MILLISECONDS = 10_000;
 
-/** Time from a command to in force everywhere, and claims a second. */
+/**
+ * Measures the time from a command until it is in force on all entry hosts, and
+ * the number of claims per second.
+ */
 export async function contractExperiment(): Promise<boolean> {
-  const system = plainSystem();
+  const system = createPortalSystem();
   try {
     await system.start();
     await measureChanges(system);
@@ -37,15 +40,27 @@
     while (changer.number < CHANGES) await changer.changeOnce();
     const times = build();
     for (const { milliseconds } of changer.accepted) {
-      times.recordValue(Math.round(milliseconds * MICROSECONDS));
+      times.recordValue(
+        Math.round(milliseconds * MICROSECONDS_PER_MILLISECOND),
+      );
     }
-    const at = (percentile: number) =>
-      (times.getValueAtPercentile(percentile) / MICROSECONDS).toFixed(1);
-    rows.push([host.name, CHANGES, at(50), at(99), at(100), changer.refused]);
+    const formatPercentile = (percentile: number) =>
+      (times.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND)
+        .toFixed(1);
+    rows.push([
+      host.name,
+      CHANGES,
+      formatPercentile(50),
+      formatPercentile(99),
+      formatPercentile(100),
+      changer.refused,
+    ]);
   }
-  console.log("from the command to in force on all 4 entry hosts, one by one");
+  console.log(
+    "from a command until it is in force on all 4 entry hosts, one at a time",
+  );
   console.log(formatTable(
-    ["THROUGH", "CHANGES", "P50 MS", "P99 MS", "WORST MS", "REFUSED"],
+    ["ENTRY HOST", "CHANGES", "P50 MS", "P99 MS", "MAX MS", "REFUSED"],
     rows,
   ));
 }
@@ -68,14 +83,19 @@
     demands: () => [],
   });
   session.start();
-  await waitUntil(() => session.hasLease(Date.now()), CONNECT_MILLISECONDS);
+  await waitUntil(
+    () => session.hasLease(Date.now()),
+    CONNECT_TIMEOUT_MILLISECONDS,
+  );
   const rows = [];
   for (const concurrency of CONCURRENCIES) {
     rows.push([concurrency, await claimsPerSecond(session, concurrency)]);
   }
-  console.log("\nclaims a second, by how many are under way at once");
-  console.log("(1 at a time is one sync a claim; more share a sync)");
-  console.log(formatTable(["AT ONCE", "CLAIMS/S"], rows));
+  console.log("\nclaims per second, by number of concurrent claims");
+  console.log(
+    "(a single claim needs a sync of its own; concurrent ones share syncs)",
+  );
+  console.log(formatTable(["CONCURRENT", "CLAIMS/S"], rows));
   session.stop();
   clients.close();
 }
@@ -86,7 +106,7 @@
 ): Promise<number> {
   const until = performance.now() + CLAIM_SECONDS * 1_000;
   let claimed = 0;
-  const claimOn = async (worker: number) => {
+  const claimRepeatedly = async (worker: number) => {
     for (let count = 0; performance.now() < until; count += 1) {
       const key = `${concurrency}-${worker}-${count}`;
       const reply = await session.propose({
@@ -104,7 +124,7 @@
     }
   };
   await Promise.all(
-    Array.from({ length: concurrency }, (_, worker) => claimOn(worker)),
+    Array.from({ length: concurrency }, (_, worker) => claimRepeatedly(worker)),
   );
   return Math.round(claimed / CLAIM_SECONDS);
 }
--- a/packages/experiments/src/control/plain_system.ts
+++ b/packages/experiments/src/control/create_portal_system.ts
@@ -1,8 +1,11 @@
 import { RunningSystem } from "../harness/running_system.ts";
 import { smallTopology } from "../harness/small_topology.ts";
 
-/** The control hosts of today, with one plain service behind them. */
-export function plainSystem(): RunningSystem {
+/**
+ * Creates a system with the hosts of the small topology and one backend server,
+ * of the service "portal". No weights are spread.
+ */
+export function createPortalSystem(): RunningSystem {
   return new RunningSystem({
     topology: {
       ...smallTopology(0),
--- a/packages/experiments/src/control/failover_experiment.ts
+++ b/packages/experiments/src/control/failover_experiment.ts
@@ -4,17 +4,19 @@
 import type { RunningSystem } from "../harness/running_system.ts";
 import { waitUntil } from "../harness/wait_until.ts";
 import { ContractChanger } from "./contract_changer.ts";
-import { plainSystem } from "./plain_system.ts";
+import { createPortalSystem } from "./create_portal_system.ts";
 
 const ROUNDS = 3;
-const BEFORE_MILLISECONDS = 1_500;
-const AFTER_MILLISECONDS = 4_000;
-const CHECK_MILLISECONDS = 20_000;
-const KINDS = ["kill", "freeze", "planned stop"] as const;
+/** How long changes run before a failure, and after the leader is back. */
+const STEADY_MILLISECONDS = 1_500;
+/** How long a leader stays frozen or stopped. */
+const OUTAGE_MILLISECONDS = 4_000;
+const LEADER_TIMEOUT_MILLISECONDS = 20_000;
+const FAILURE_KINDS = ["kill", "freeze", "planned stop"] as const;
 
-type Kind = typeof KINDS[number];
+type FailureKind = typeof FAILURE_KINDS[number];
 
-async function leaderOf(system: RunningSystem): Promise<string> {
+async function waitForLeader(system: RunningSystem): Promise<string> {
   const { cluster } = system;
   let name = "";
   await waitUntil(async () => {
@@ -22,47 +24,51 @@
     name = cluster.entryHosts
       .find((host) => host.internal === status?.leader)?.name ?? "";
     return name !== "";
-  }, CHECK_MILLISECONDS);
+  }, LEADER_TIMEOUT_MILLISECONDS);
   return name;
 }
 
 async function failLeader(
   system: RunningSystem,
-  kind: Kind,
+  kind: FailureKind,
   leader: string,
 ): Promise<void> {
   const child = system.cluster.child(leader);
   if (kind === "freeze") {
     child.signal("SIGSTOP");
-    await pause(AFTER_MILLISECONDS);
+    await pause(OUTAGE_MILLISECONDS);
     child.signal("SIGCONT");
     return;
   }
   child.signal(kind === "kill" ? "SIGKILL" : "SIGTERM");
   await child.exited;
-  await pause(AFTER_MILLISECONDS);
+  await pause(OUTAGE_MILLISECONDS);
   system.cluster.start(leader);
 }
 
-/** Time without accepted changes, and accepted changes that went missing. */
+/**
+ * Fails the leader in several ways, and measures the longest time without an
+ * accepted change. Returns whether no accepted change was lost.
+ */
 export async function failoverExperiment(): Promise<boolean> {
-  const system = plainSystem();
+  const system = createPortalSystem();
   const rows: (string | number)[][] = [];
   let missing = 0;
   try {
     await system.start();
-    for (const kind of KINDS) {
+    for (const kind of FAILURE_KINDS) {
       for (let round = 1; round <= ROUNDS; round += 1) {
-        const leader = await leaderOf(system);
-        // The entry host without a disk never is the one that fails.
+        const leader = await waitForLeader(system);
+        // Changes go through the entry host that is no control host, and so is
+        // never the leader that fails.
         const changer = new ContractChanger(
           system.cluster.publicUrl(3),
           `${kind.replace(" ", "-")}-${round}`,
         );
         const running = changer.run();
-        await pause(BEFORE_MILLISECONDS);
+        await pause(STEADY_MILLISECONDS);
         await failLeader(system, kind, leader);
-        await pause(BEFORE_MILLISECONDS);
+        await pause(STEADY_MILLISECONDS);
         changer.stop();
         await running;
         const lost = await countMissing(system, changer, kind, round);
@@ -91,11 +97,11 @@
 async function countMissing(
   system: RunningSystem,
   changer: ContractChanger,
-  kind: Kind,
+  kind: FailureKind,
   round: number,
 ): Promise<number> {
   const workspace = `${kind.replace(" ", "-")}-${round}`;
   const status = await fetchStatus(system.cluster.publicUrl(3));
-  const row = status?.contracts.find((one) => one.workspace === workspace);
-  return Math.max(0, changer.number - (row?.number ?? 0));
+  const contract = status?.contracts.find((one) => one.workspace === workspace);
+  return Math.max(0, changer.number - (contract?.number ?? 0));
 }
--- a/packages/experiments/src/requests/request_experiment.ts
+++ b/packages/experiments/src/requests/request_experiment.ts
@@ -1,18 +1,20 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 import { build, type Histogram } from "hdr-histogram-js";
-import { plainSystem } from "../control/plain_system.ts";
+import { createPortalSystem } from "../control/create_portal_system.ts";
 import { readUsage } from "../harness/read_usage.ts";
 import type { RunningSystem } from "../harness/running_system.ts";
 import { makeCall } from "../load/make_call.ts";
 
 const RATES = [100, 200, 400];
-const WARM_SECONDS = 5;
-const MEASURE_SECONDS = 6;
-const MICROSECONDS = 1_000;
-const ENTRY = 3;
+const WARM_UP_SECONDS = 5;
+const MEASUREMENT_SECONDS = 6;
+const MICROSECONDS_PER_MILLISECOND = 1_000;
+/** The entry host that is no control host. */
+const ENTRY_INDEX = 3;
 
-type Measured = {
+/** CPU times are per call. */
+type Measurement = {
   rate: number;
   entryMicroseconds: number;
   agentMicroseconds: number;
@@ -20,8 +22,8 @@
   failed: number;
 };
 
-/** Sends calls at an even rate and notes how long each took. */
-async function drive(
+/** Sends calls at a constant rate and records the time of each answer. */
+async function sendCalls(
   url: string,
   rate: number,
   seconds: number,
@@ -45,7 +47,9 @@
     });
     calls.push(call.then((result) => {
       if (result.kind === "whole") {
-        times.recordValue(Math.round(result.milliseconds * MICROSECONDS));
+        times.recordValue(
+          Math.round(result.milliseconds * MICROSECONDS_PER_MILLISECOND),
+        );
       } else failed += 1;
     }));
   }
@@ -56,16 +60,20 @@
 async function measure(
   system: RunningSystem,
   rate: number,
-): Promise<Measured> {
+): Promise<Measurement> {
   const { cluster } = system;
-  const url = cluster.publicUrl(ENTRY);
-  await drive(url, rate, WARM_SECONDS);
+  const url = cluster.publicUrl(ENTRY_INDEX);
+  await sendCalls(url, rate, WARM_UP_SECONDS);
   const pids = [
-    cluster.child(cluster.entryHosts[ENTRY]!.name).pid,
+    cluster.child(cluster.entryHosts[ENTRY_INDEX]!.name).pid,
     cluster.child("portal-1").pid,
   ];
   const before = pids.map(readUsage);
-  const { times, sent, failed } = await drive(url, rate, MEASURE_SECONDS);
+  const { times, sent, failed } = await sendCalls(
+    url,
+    rate,
+    MEASUREMENT_SECONDS,
+  );
   const after = pids.map(readUsage);
   const [entryMicroseconds, agentMicroseconds] = after.map((usage, index) =>
     (usage.cpuSeconds - before[index]!.cpuSeconds) * 1e6 / sent
@@ -79,46 +87,59 @@
   };
 }
 
-/** What a call costs on our own path, and how much time it adds. */
+/**
+ * Measures the CPU time of an entry host and an agent per call, and the time
+ * that they add to it. Returns whether all calls succeeded.
+ */
 export async function requestExperiment(): Promise<boolean> {
-  const system = plainSystem();
+  const system = createPortalSystem();
   try {
     await system.start();
     await system.client([
       ...["contract", "create", "desk", "--rate", "5000", "--burst", "2000"],
       ...["--services", "portal"],
     ]);
-    await drive(system.cluster.publicUrl(ENTRY), 200, WARM_SECONDS);
+    await sendCalls(
+      system.cluster.publicUrl(ENTRY_INDEX),
+      200,
+      WARM_UP_SECONDS,
+    );
     const rows = [];
     for (const rate of RATES) {
       const row = await measure(system, rate);
-      const at = (percentile: number) =>
-        (row.times.getValueAtPercentile(percentile) / MICROSECONDS).toFixed(1);
+      const formatPercentile = (percentile: number) =>
+        (row.times.getValueAtPercentile(percentile) /
+          MICROSECONDS_PER_MILLISECOND).toFixed(1);
       rows.push([
         rate,
         Math.round(row.entryMicroseconds),
         Math.round(row.agentMicroseconds),
-        at(50),
-        at(95),
-        at(99),
+        formatPercentile(50),
+        formatPercentile(95),
+        formatPercentile(99),
         row.failed,
       ]);
     }
-    const direct = await directTimes(system);
+    const directP50 = await measureDirectCalls(system);
     console.log("one entry host, one agent; the service itself takes 10 ms");
     console.log(formatTable(
       ["CALLS/S", "ENTRY US", "AGENT US", "P50 MS", "P95 MS", "P99 MS", "FAIL"],
       rows,
     ));
-    console.log(`straight to the service: p50 ${direct} ms`);
+    console.log(`directly to the service: p50 ${directP50} ms`);
     return rows.every((row) => row.at(-1) === 0);
   } finally {
     await system.destroy();
   }
 }
 
-async function directTimes(system: RunningSystem): Promise<string> {
+async function measureDirectCalls(system: RunningSystem): Promise<string> {
   const server = system.cluster.backendServers[0]!;
-  const { times } = await drive(`http://${server.address}`, 100, WARM_SECONDS);
-  return (times.getValueAtPercentile(50) / MICROSECONDS).toFixed(1);
+  const { times } = await sendCalls(
+    `http://${server.address}`,
+    100,
+    WARM_UP_SECONDS,
+  );
+  return (times.getValueAtPercentile(50) / MICROSECONDS_PER_MILLISECOND)
+    .toFixed(1);
 }
