--- a/packages/experiments/src/load/load_driver.ts
+++ b/packages/experiments/src/load/load_driver.ts
@@ -7,18 +7,19 @@
 import type { LoadSummary } from "./load_summary.ts";
 import { makeCall } from "./make_call.ts";
 
-const ASK_AGAIN_TIMES = 5;
-const ASK_AGAIN_MILLISECONDS = 300;
+/** Retries to learn the outcome of a call that must not run twice. */
+const MAX_OUTCOME_RETRIES = 5;
+const OUTCOME_RETRY_MILLISECONDS = 300;
 
 type Stream = LoadPlan["streams"][number];
 type Summary = LoadSummary["services"][string];
 
-/** Sends live calls of every kind until it is told to stop. */
+/** Sends calls of all streams at their rates until it is stopped. */
 class LoadDriver {
   #plan: LoadPlan;
-  #stopped = false;
-  #count = 0;
-  #underWay = new Set<Promise<void>>();
+  #isStopped = false;
+  #callCount = 0;
+  #callsInFlight = new Set<Promise<void>>();
   #histograms = new Map(
     [] as [string, ReturnType<typeof build>][],
   );
@@ -33,16 +34,16 @@
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
   async run(): Promise<LoadSummary> {
     await Promise.all(this.#plan.streams.map((stream) => this.#drive(stream)));
-    await Promise.all(this.#underWay);
+    await Promise.all(this.#callsInFlight);
     for (const service of Object.keys(this.#summary.services)) {
-      const summary = this.#of(service);
-      const histogram = this.#histogram(service);
-      const refused = this.#histogram(`${service} refused`);
+      const summary = this.#summaryOf(service);
+      const histogram = this.#histogramOf(service);
+      const refused = this.#histogramOf(`${service} refused`);
       summary.refusedP99 = refused.getValueAtPercentile(99);
       summary.p50 = histogram.getValueAtPercentile(50);
       summary.p95 = histogram.getValueAtPercentile(95);
@@ -53,50 +54,55 @@
 
   async #drive(stream: Stream): Promise<void> {
     const startedAt = performance.now();
-    for (let sent = 0; !this.#stopped; sent += 1) {
+    for (let sent = 0; !this.#isStopped; sent += 1) {
       const due = startedAt + sent * 1_000 / stream.callsPerSecond;
       await pause(Math.max(0, due - performance.now()));
       const call = this.#callOnce(stream);
-      this.#underWay.add(call);
-      call.finally(() => this.#underWay.delete(call));
+      this.#callsInFlight.add(call);
+      call.finally(() => this.#callsInFlight.delete(call));
     }
   }
 
   async #callOnce(stream: Stream): Promise<void> {
-    this.#count += 1;
-    const body = `${stream.service} ${this.#plan.seed} ${this.#count}`;
-    const summary = this.#of(stream.service);
+    this.#callCount += 1;
+    const body = `${stream.service} ${this.#plan.seed} ${this.#callCount}`;
+    const summary = this.#summaryOf(stream.service);
     summary.sent += 1;
-    let result = await this.#send(stream, body, this.#count);
+    let result = await this.#send(stream, body, this.#callCount);
     if (stream.kind === "unrepeatable") {
-      result = await this.#insist(stream, body, result);
-      this.#noteOutcome(body, result);
+      result = await this.#resolveOutcome(stream, body, result);
+      this.#recordOutcome(body, result);
     }
-    this.#countResult(stream, summary, result);
+    this.#recordResult(stream, summary, result);
   }
 
-  /** An unknown outcome is asked again through other entry hosts. */
-  async #insist(
+  /**
+   * Retries a call with an unknown outcome under the same idempotency key and
+   * through varying entry hosts, until the outcome is known or the retries are
+   * used up.
+   */
+  async #resolveOutcome(
     stream: Stream,
     body: string,
     first: CallResult,
   ): Promise<CallResult> {
     let result = first;
-    for (let time = 1; time <= ASK_AGAIN_TIMES; time += 1) {
-      const open = result.kind === "cut" || result.kind === "unreached" ||
+    for (let retry = 1; retry <= MAX_OUTCOME_RETRIES; retry += 1) {
+      const isUnresolved = result.kind === "cut" ||
+        result.kind === "unreached" ||
         (result.kind === "refused" && result.outcome === "unknown");
-      if (!open) return result;
-      await pause(ASK_AGAIN_MILLISECONDS);
-      result = await this.#send(stream, body, this.#count + time);
+      if (!isUnresolved) return result;
+      await pause(OUTCOME_RETRY_MILLISECONDS);
+      result = await this.#send(stream, body, this.#callCount + retry);
     }
     return result;
   }
 
-  #send(stream: Stream, body: string, turn: number): Promise<CallResult> {
+  #send(stream: Stream, body: string, entryIndex: number): Promise<CallResult> {
     const { entries, workspace, weightDigests, deadlineMilliseconds } =
       this.#plan;
     return makeCall({
-      entry: entries[turn % entries.length]!,
+      entry: entries[entryIndex % entries.length]!,
       workspace,
       service: stream.service,
       body,
@@ -108,7 +114,7 @@
     });
   }
 
-  #noteOutcome(body: string, result: CallResult): void {
+  #recordOutcome(body: string, result: CallResult): void {
     const { ran, notRun, unknown } = this.#summary.unrepeatable;
     if (result.kind === "whole") ran.push(body);
     else if (result.kind === "refused" && result.outcome === "not-run") {
@@ -116,19 +122,19 @@
     } else unknown.push(body);
   }
 
-  #countResult(stream: Stream, summary: Summary, result: CallResult): void {
+  #recordResult(stream: Stream, summary: Summary, result: CallResult): void {
     switch (result.kind) {
       case "whole": {
         summary.whole += 1;
         const { version } = result;
         summary.byVersion[version] = (summary.byVersion[version] ?? 0) + 1;
-        this.#histogram(stream.service).recordValue(
+        this.#histogramOf(stream.service).recordValue(
           Math.round(result.milliseconds),
         );
         return;
       }
       case "refused":
-        this.#histogram(`${stream.service} refused`).recordValue(
+        this.#histogramOf(`${stream.service} refused`).recordValue(
           Math.round(result.milliseconds),
         );
         summary.refused[result.reason] = (summary.refused[result.reason] ?? 0) +
@@ -148,7 +154,7 @@
     }
   }
 
-  #histogram(service: string) {
+  #histogramOf(service: string) {
     let histogram = this.#histograms.get(service);
     if (histogram === undefined) {
       histogram = build();
@@ -157,7 +163,7 @@
     return histogram;
   }
 
-  #of(service: string): Summary {
+  #summaryOf(service: string): Summary {
     return this.#summary.services[service] ??= {
       sent: 0,
       whole: 0,
--- a/packages/experiments/src/load/load_plan.ts
+++ b/packages/experiments/src/load/load_plan.ts
@@ -1,5 +1,6 @@
-/** What the load driver process is told, as JSON in a file. */
+/** Input of the load driver process, as JSON in a file. */
 export type LoadPlan = {
+  /** Public URLs of the entry hosts, which get the calls in turn. */
   entries: string[];
   workspace: string;
   seed: number;
@@ -9,5 +10,6 @@
     callsPerSecond: number;
     kind: "engine" | "repeatable" | "unrepeatable";
   }[];
+  /** Digest of the weights of each published version. */
   weightDigests: Record<string, string>;
 };
--- a/packages/experiments/src/load/load_summary.ts
+++ b/packages/experiments/src/load/load_summary.ts
@@ -1,26 +1,29 @@
-/** What the load driver counted of one service. */
+/** Results of one service's calls. */
 type ServiceSummary = {
   sent: number;
   whole: number;
+  /** Answers that differ from the expected one. */
   wrong: number;
-  /** Answers whose connection was broken before their end. */
+  /** Answers whose connection broke before their end. */
   cut: number;
-  /** Calls to an entry host that no longer listened. */
+  /** Calls to an entry host that accepted no connection. */
   unreached: number;
+  /** Number of refusals by reason. */
   refused: Record<string, number>;
-  /** Until a refusal was answered, milliseconds. */
+  /** Time to a refusal, milliseconds. */
   refusedP99: number;
-  /** Of whole answers, milliseconds. */
+  /** Time to a complete and correct answer, milliseconds. */
   p50: number;
   p95: number;
   p99: number;
+  /** Number of correct answers by version of the weights. */
   byVersion: Record<string, number>;
 };
 
-/** What the load driver prints at its end. */
+/** Output of the load driver process, as JSON. */
 export type LoadSummary = {
   services: Record<string, ServiceSummary>;
-  /** Bodies of unrepeatable calls by their last reported outcome. */
+  /** Bodies of unrepeatable calls, by their last reported outcome. */
   unrepeatable: { ran: string[]; notRun: string[]; unknown: string[] };
   wrongDetails: string[];
 };
--- a/packages/experiments/src/load/make_call.ts
+++ b/packages/experiments/src/load/make_call.ts
@@ -11,11 +11,18 @@
   body: string;
   idempotencyKey: string | undefined;
   deadlineMilliseconds: number;
-  /** Digest of each published version's weights; undefined: no model. */
+  /**
+   * Digest of each published version's weights; undefined for a service without
+   * weights.
+   */
   weightDigests: Record<string, string> | undefined;
 };
 
-function check(call: Call, version: string, text: string): CallResult["kind"] {
+function checkAnswer(
+  call: Call,
+  version: string,
+  text: string,
+): CallResult["kind"] {
   if (call.weightDigests === undefined) {
     return text === FakeService.answerTo(call.body) ? "whole" : "wrong";
   }
@@ -30,7 +37,7 @@
 export function makeCall(call: Call): Promise<CallResult> {
   const startedAt = performance.now();
   const elapsed = () => performance.now() - startedAt;
-  const cut = (reason: string): CallResult => ({
+  const createCutResult = (reason: string): CallResult => ({
     kind: "cut",
     detail: `${reason} after ${Math.round(elapsed())} ms`,
   });
@@ -46,11 +53,13 @@
       },
     });
     request.on("error", (error) => {
-      // An error of connecting itself, a refusal or a reset, comes before any
-      // byte of the call was sent.
+      // An error while connecting, such as a refused or reset connection,
+      // comes before any byte of the call is sent.
       const { syscall } = error as { syscall?: string };
       resolve(
-        syscall === "connect" ? { kind: "unreached" } : cut(error.message),
+        syscall === "connect"
+          ? { kind: "unreached" }
+          : createCutResult(error.message),
       );
     });
     request.on("response", async (response) => {
@@ -65,14 +74,14 @@
           });
         }
         const version = String(response.headers["teaselrouter-weights"] ?? "");
-        const kind = check(call, version, text);
+        const kind = checkAnswer(call, version, text);
         resolve(
           kind === "whole"
             ? { kind, version, milliseconds: elapsed() }
             : { kind: "wrong", detail: `${call.service} ${version}` },
         );
       } catch (error) {
-        resolve(cut(String(error)));
+        resolve(createCutResult(String(error)));
       }
     });
     request.end(call.body);
