--- a/packages/experiments/src/footprint/footprint_experiment.ts
+++ b/packages/experiments/src/footprint/footprint_experiment.ts
@@ -8,21 +8,24 @@
 import { fetchStatus } from "../harness/fetch_status.ts";
 import { waitUntil } from "../harness/wait_until.ts";
 
-const CENTRES = ["van", "kel", "pgr"];
+const DATA_CENTRES = ["van", "kel", "pgr"];
 const AGENTS_PER_PROCESS = 25;
 const SETTLE_MILLISECONDS = 8_000;
-const MEASURE_SECONDS = 5;
+const MEASUREMENT_SECONDS = 5;
 const CHANGES = 15;
 const REQUESTS_PER_SECOND = 150;
-const READY_MILLISECONDS = 40_000;
+const READY_TIMEOUT_MILLISECONDS = 40_000;
 const RUNS = Number(process.env["RUNS"] ?? 3);
 
+/** Numbers of entry hosts and agents of a measured system. */
 type Shape = { entries: number; agents: number };
 
+/** Mean resource use of one process. */
 type Cost = {
   cpuPercent: number;
   megabytes: number;
   kilobytesPerSecond: number;
+  /** Read and write system calls. */
   callsPerSecond: number;
 };
 
@@ -35,11 +38,11 @@
   { entries: 4, agents: 200 },
 ];
 
-function topology(shape: Shape): Topology {
+function createTopology(shape: Shape): Topology {
   return {
     entryHosts: Array.from({ length: shape.entries }, (_, index) => ({
       name: `entry-${index + 1}`,
-      dataCentre: CENTRES[index % CENTRES.length]!,
+      dataCentre: DATA_CENTRES[index % DATA_CENTRES.length]!,
       control: index < 3,
     })),
     services: [{ service: "portal", kind: "repeatable", dataCentres: ["van"] }],
@@ -51,17 +54,17 @@
   };
 }
 
-/** Measures the mean cost of processes over a few seconds. */
-async function measure(pids: number[]): Promise<Cost> {
+/** Measures the mean resource use of the processes over a few seconds. */
+async function measureCost(pids: number[]): Promise<Cost> {
   const before = pids.map(readUsage);
-  await pause(MEASURE_SECONDS * 1_000);
+  await pause(MEASUREMENT_SECONDS * 1_000);
   const after = pids.map(readUsage);
   const perSecond = (pick: (usage: (typeof before)[number]) => number) =>
     after.reduce(
       (sum, usage, index) => sum + pick(usage) - pick(before[index]!),
       0,
     ) /
-    pids.length / MEASURE_SECONDS;
+    pids.length / MEASUREMENT_SECONDS;
   const resident = after.reduce((sum, usage) => sum + usage.residentBytes, 0);
   return {
     cpuPercent: perSecond((usage) => usage.cpuSeconds) * 100,
@@ -71,6 +74,10 @@
   };
 }
 
+/**
+ * Starts `count` agents, many to a process, and waits until the first entry
+ * host knows their backend servers.
+ */
 async function startLightAgents(
   system: RunningSystem,
   count: number,
@@ -78,26 +85,26 @@
   const addresses = await freeAddresses(count * 3);
   const agents = Array.from({ length: count }, (_, index) => ({
     name: `light-${index + 1}`,
-    dataCentre: CENTRES[index % CENTRES.length]!,
+    dataCentre: DATA_CENTRES[index % DATA_CENTRES.length]!,
     internal: addresses.pop()!,
     agentAddress: addresses.pop()!,
     address: addresses.pop()!,
   }));
   const entryHosts = system.cluster.entryHosts.map((host) => host.internal);
-  for (let at = 0; at < count; at += AGENTS_PER_PROCESS) {
-    system.helper(`light-${at}`, "footprint/run_light_agents.js", {
-      agents: agents.slice(at, at + AGENTS_PER_PROCESS),
+  for (let first = 0; first < count; first += AGENTS_PER_PROCESS) {
+    system.helper(`light-${first}`, "footprint/run_light_agents.js", {
+      agents: agents.slice(first, first + AGENTS_PER_PROCESS),
       entryHosts,
     });
   }
   const all = await waitUntil(async () => {
     const status = await fetchStatus(system.cluster.publicUrl(0));
     return (status?.backend_servers.length ?? 0) > count;
-  }, READY_MILLISECONDS);
+  }, READY_TIMEOUT_MILLISECONDS);
   if (!all) throw new Error("not all light agents announced themselves");
 }
 
-async function leaderName(system: RunningSystem): Promise<string> {
+async function findLeaderName(system: RunningSystem): Promise<string> {
   const status = await fetchStatus(system.cluster.publicUrl(0));
   return system.cluster.entryHosts
     .find((host) => host.internal === status?.leader)?.name ?? "entry-1";
@@ -105,7 +112,7 @@
 
 async function measureShape(shape: Shape, run: number): Promise<Row[]> {
   const system = new RunningSystem({
-    topology: topology(shape),
+    topology: createTopology(shape),
     model: "none",
     totalBytes: 1,
     chunkBytes: 1,
@@ -120,7 +127,7 @@
       ...["contract", "create", "desk", "--rate", "1000", "--burst", "200"],
       ...["--services", "portal"],
     ]);
-    const leader = await leaderName(system);
+    const leader = await findLeaderName(system);
     const pidOf = (name: string) => system.cluster.child(name).pid;
     const others = system.cluster.entryHosts
       .filter(({ name, control }) => name !== leader && !control);
@@ -129,17 +136,17 @@
       entry: others.map(({ name }) => pidOf(name)),
       agent: [pidOf("portal-1")],
     };
-    const measureAll = async (phase: string) => {
+    const measurePhase = async (phase: string) => {
       const costs = await Promise.all(
-        Object.values(groups).map((pids) => measure(pids)),
+        Object.values(groups).map((pids) => measureCost(pids)),
       );
       Object.keys(groups).forEach((role, index) => {
         rows.push({ ...shape, run, phase, role, cost: costs[index]! });
       });
     };
     await pause(SETTLE_MILLISECONDS);
-    await measureAll("rest");
-    await Promise.all([measureAll("changes"), makeChanges(system)]);
+    await measurePhase("idle");
+    await Promise.all([measurePhase("changes"), makeChanges(system)]);
     const load = system.startLoad({
       workspace: "desk",
       seed: run,
@@ -151,7 +158,7 @@
       }],
     });
     await pause(1_000);
-    await measureAll("requests");
+    await measurePhase("requests");
     await system.endLoad(load);
     return rows;
   } finally {
@@ -161,7 +168,7 @@
 
 async function makeChanges(system: RunningSystem): Promise<void> {
   const url = `${system.cluster.publicUrl(0)}/v1/operator/contracts/desk`;
-  const pauseMilliseconds = MEASURE_SECONDS * 1_000 / CHANGES;
+  const pauseMilliseconds = MEASUREMENT_SECONDS * 1_000 / CHANGES;
   for (let number = 1; number < CHANGES; number += 1) {
     const answer = await fetch(url, {
       method: "PUT",
@@ -179,13 +186,17 @@
   }
 }
 
-function spreadOf(values: number[], digits: number): string {
+function formatRange(values: number[], digits: number): string {
   const low = Math.min(...values).toFixed(digits);
   const high = Math.max(...values).toFixed(digits);
   return low === high ? low : `${low}..${high}`;
 }
 
-/** Control cost per process over entry hosts, agents, changes, requests. */
+/**
+ * Measures the resource use per process of the leader, of entry hosts that are
+ * no control hosts, and of an agent: idle, during contract changes and during
+ * requests, for several numbers of entry hosts and agents.
+ */
 export async function footprintExperiment(): Promise<boolean> {
   const rows: Row[] = [];
   for (const shape of SHAPES) {
@@ -213,10 +224,10 @@
         .map((row) => row.cost);
       return [
         key,
-        spreadOf(costs.map((cost) => cost.cpuPercent), 1),
-        spreadOf(costs.map((cost) => cost.megabytes), 0),
-        spreadOf(costs.map((cost) => cost.kilobytesPerSecond), 1),
-        spreadOf(costs.map((cost) => cost.callsPerSecond), 0),
+        formatRange(costs.map((cost) => cost.cpuPercent), 1),
+        formatRange(costs.map((cost) => cost.megabytes), 0),
+        formatRange(costs.map((cost) => cost.kilobytesPerSecond), 1),
+        formatRange(costs.map((cost) => cost.callsPerSecond), 0),
       ];
     }),
   ));
--- a/packages/experiments/src/footprint/light_plan.ts
+++ b/packages/experiments/src/footprint/light_agents_plan.ts
@@ -1,5 +1,5 @@
-/** What a process of light agents is told, as JSON in a file. */
-export type LightPlan = {
+/** Input of a process that runs several agents, as JSON in a file. */
+export type LightAgentsPlan = {
   agents: {
     name: string;
     dataCentre: string;
--- a/packages/experiments/src/footprint/run_light_agents.ts
+++ b/packages/experiments/src/footprint/run_light_agents.ts
@@ -4,10 +4,15 @@
 import process from "node:process";
 import { stringify } from "smol-toml";
 import { FakeService } from "../fakes/fake_service.ts";
-import type { LightPlan } from "./light_plan.ts";
+import type { LightAgentsPlan } from "./light_agents_plan.ts";
 
-/** Many whole agents in one process: what they cost others is real. */
-const plan = JSON.parse(readFileSync(process.argv[2]!, "utf8")) as LightPlan;
+/**
+ * Runs many complete agents in one process. They load the entry hosts as agents
+ * in processes of their own would.
+ */
+const plan = JSON.parse(
+  readFileSync(process.argv[2]!, "utf8"),
+) as LightAgentsPlan;
 for (const agent of plan.agents) {
   const settings = parseSettings(stringify({
     name: agent.name,
