--- a/packages/experiments/src/load/load_driver.ts
+++ b/packages/experiments/src/load/load_driver.ts
@@ -38,7 +38,9 @@
   }
 
   async run(): Promise<LoadSummary> {
-    await Promise.all(this.#plan.streams.map((stream) => this.#drive(stream)));
+    await Promise.all(
+      this.#plan.streams.map((stream) => this.#sendAtRate(stream)),
+    );
     await Promise.all(this.#callsInFlight);
     for (const service of Object.keys(this.#summary.services)) {
       const summary = this.#summaryOf(service);
@@ -52,7 +54,7 @@
     return this.#summary;
   }
 
-  async #drive(stream: Stream): Promise<void> {
+  async #sendAtRate(stream: Stream): Promise<void> {
     const startedAt = performance.now();
     for (let sent = 0; !this.#isStopped; sent += 1) {
       const due = startedAt + sent * 1_000 / stream.callsPerSecond;
