--- a/packages/experiments/src/failures/agent_bench.ts
+++ b/packages/experiments/src/failures/agent_fixture.ts
@@ -10,34 +10,37 @@
 import { EventLog } from "@teaselrouter/daemon/log/event_log.ts";
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
 import { RunRequestSchema } from "@teaselrouter/messages/agent.ts";
-import { digestOf } from "../fakes/digest_of.ts";
+import { sha256Hex } from "../fakes/sha256_hex.ts";
 import { expectedAnswer } from "../fakes/expected_answer.ts";
 import { FakeEngine } from "../fakes/fake_engine.ts";
-import { weightsOf } from "../fakes/weights_of.ts";
+import { generateWeights } from "../fakes/generate_weights.ts";
 import { waitUntil } from "../harness/wait_until.ts";
 
-const SHAPE = {
+const WEIGHTS_SHAPE = {
   totalBytes: 16_777_216,
   chunkBytes: 1_048_576,
   commonChunks: 0,
 };
-const LIVE_MILLISECONDS = 10_000;
-const CALL_EVERY_MILLISECONDS = 10;
+const SERVING_TIMEOUT_MILLISECONDS = 10_000;
+const CALL_INTERVAL_MILLISECONDS = 10;
 
-/** One agent's parts with a fake engine, and no entry host. */
-export class AgentBench {
+/**
+ * The parts of one agent that load weights and run calls, connected to a fake
+ * engine. There is no entry host: the fixture grants every loading permit.
+ */
+export class AgentFixture {
   readonly state = new AgentState();
   readonly engine: FakeEngine;
   readonly loader: EngineLoader;
   readonly agentAddress: string;
   readonly engineAddress: string;
-  answered = 0;
-  refused = 0;
-  readonly wrong: string[] = [];
+  answeredCalls = 0;
+  refusedCalls = 0;
+  readonly wrongAnswers: string[] = [];
   #cache = new WeightsCache();
   #runner: CallRunner;
   #server: AgentServer;
-  #token = 10;
+  #fencingToken = 10;
   #calls = new Set<Promise<void>>();
 
   constructor(addresses: string[], checksFencing: boolean) {
@@ -47,7 +50,7 @@
     this.#runner = new CallRunner({
       state: this.state,
       engine,
-      incarnation: "bench",
+      incarnation: "test",
     });
     this.#server = new AgentServer({
       dataCentre: "van",
@@ -61,12 +64,12 @@
       cache: this.#cache,
       engine,
       runner: this.#runner,
-      log: new EventLog("bench", "error"),
+      log: new EventLog("test", "error"),
       weightsAddress: this.agentAddress,
     });
     this.loader.permitWanted$.subscribe(({ version }) => {
-      this.#token += 1;
-      this.loader.takePermit(version, this.#token);
+      this.#fencingToken += 1;
+      this.loader.takePermit(version, this.#fencingToken);
     });
     this.engine = new FakeEngine({
       address: this.engineAddress,
@@ -74,7 +77,7 @@
       service: "drafter",
       checksFencing,
       slots: 8,
-      lineMilliseconds: 5,
+      lineIntervalMilliseconds: 5,
     });
   }
 
@@ -92,43 +95,47 @@
     this.#server.close();
   }
 
-  /** Has a version complete and wants it served. */
-  target(version: string): void {
-    const chunks = weightsOf({ ...SHAPE, version });
+  /** Caches all chunks of a version and makes it the version to serve. */
+  setCompleteTarget(version: string): void {
+    const chunks = generateWeights({ ...WEIGHTS_SHAPE, version });
     const name = `drafter@${version}`;
     this.#cache.begin({
       name: "drafter",
       version,
-      total_bytes: SHAPE.totalBytes,
-      chunk_bytes: SHAPE.chunkBytes,
-      chunks: chunks.map((chunk) => digestOf([chunk])),
+      total_bytes: WEIGHTS_SHAPE.totalBytes,
+      chunk_bytes: WEIGHTS_SHAPE.chunkBytes,
+      chunks: chunks.map((chunk) => sha256Hex([chunk])),
     });
     chunks.forEach((bytes, chunk) => this.#cache.add(name, chunk, bytes));
     this.loader.setTarget(name);
   }
 
-  serves(version: string): Promise<boolean> {
+  waitUntilServing(version: string): Promise<boolean> {
     return waitUntil(
       () =>
         this.state.servingVersion === `drafter@${version}` &&
         this.state.refusal(Date.now()) === undefined,
-      LIVE_MILLISECONDS,
+      SERVING_TIMEOUT_MILLISECONDS,
     );
   }
 
-  /** Makes calls for a while; each answer is checked byte for byte. */
-  async callFor(milliseconds: number): Promise<void> {
+  /**
+   * Starts a call about every 10 ms until the duration is over, then waits for
+   * all answers. Each answer is compared byte for byte with the one expected
+   * from the version that it names.
+   */
+  async makeCallsFor(milliseconds: number): Promise<void> {
     const until = Date.now() + milliseconds;
     for (let count = 0; Date.now() < until; count += 1) {
-      const call = this.#callOnce(`call ${milliseconds} ${count}`);
+      const call = this.#makeCall(`call ${milliseconds} ${count}`);
       this.#calls.add(call);
-      await pause(CALL_EVERY_MILLISECONDS);
+      await pause(CALL_INTERVAL_MILLISECONDS);
     }
     await Promise.all(this.#calls);
   }
 
-  /** Sends a call and gives back its exchange, unread. */
-  send(body: string): Exchange {
+  /** Starts a call and returns its exchange without reading the answer. */
+  startCall(body: string): Exchange {
     return this.#runner.run(create(RunRequestSchema, {
       requestId: body,
       path: "/generate",
@@ -141,33 +148,34 @@
     this.#runner.cancel(requestId);
   }
 
-  get running(): number {
+  get runningCalls(): number {
     return this.#runner.load.running;
   }
 
-  async #callOnce(body: string): Promise<void> {
-    const exchange = this.send(body);
+  async #makeCall(body: string): Promise<void> {
+    const exchange = this.startCall(body);
     let [text, version] = ["", ""];
     for await (const { body: part } of exchange.read(0)) {
       if (part.case === "start") version = part.value.version;
       if (part.case === "data") text += new TextDecoder().decode(part.value);
       if (part.case === "refused") {
-        this.refused += 1;
+        this.refusedCalls += 1;
         return;
       }
     }
-    const weights = weightsDigest(version.split("@")[1]!);
+    const weights = computeWeightsDigest(version.split("@")[1]!);
     const expected = expectedAnswer(weights, body).join("");
-    if (text === expected) this.answered += 1;
-    else this.wrong.push(`${body} from ${version}`);
+    if (text === expected) this.answeredCalls += 1;
+    else this.wrongAnswers.push(`${body} from ${version}`);
   }
 }
 
-const digests = new Map<string, string>();
+/** Computing a digest generates the whole weights, so it is cached. */
+const digestByVersion = new Map<string, string>();
 
-function weightsDigest(version: string): string {
-  const known = digests.get(version) ??
-    digestOf(weightsOf({ ...SHAPE, version }));
-  digests.set(version, known);
-  return known;
+function computeWeightsDigest(version: string): string {
+  const digest = digestByVersion.get(version) ??
+    sha256Hex(generateWeights({ ...WEIGHTS_SHAPE, version }));
+  digestByVersion.set(version, digest);
+  return digest;
 }
--- a/packages/experiments/src/failures/at_most_once_test.ts
+++ b/packages/experiments/src/failures/at_most_once_test.ts
@@ -2,11 +2,11 @@
 import { test } from "node:test";
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
 import { findRunFaults } from "../harness/find_run_faults.ts";
-import { ask } from "./ask.ts";
+import { sendRequest } from "./send_request.ts";
 import { withSystem } from "./with_system.ts";
 
 const SEED = 3;
-const BETWEEN_MILLISECONDS = 700;
+const FAULT_INTERVAL_MILLISECONDS = 700;
 
 const LEDGER_LOAD = {
   workspace: "desk",
@@ -17,28 +17,30 @@
   ],
 };
 
-test("kills, freezes and silent links never run a call twice", async () => {
-  // Story: while calls that may not be repeated flow, an agent, an entry
-  // host and a control host are killed, another agent is frozen past its
-  // callers' patience, and open links go silent. Callers whose outcome is
-  // unknown ask again through other entry hosts. The services' own records
-  // must show each call at most once, and none that was reported not run.
+test("killed or frozen processes and silent links never run a call twice", async () => {
+  // Guards against a call that runs twice, or runs after it was reported not
+  // run. During unrepeatable calls an agent, an entry host and a control host
+  // are killed and restarted, another agent is frozen past its callers'
+  // patience, and open connections between data centres go silent. Callers
+  // whose outcome is unknown retry through other entry hosts. The services'
+  // own records must show each call at most once, and none that was reported
+  // as not run.
   await withSystem({ withRelays: true }, async (system) => {
     const { cluster } = system;
     const load = system.startLoad(LEDGER_LOAD);
-    await pause(BETWEEN_MILLISECONDS);
+    await pause(FAULT_INTERVAL_MILLISECONDS);
     for (const name of ["ledger-1", "van-2", "kel-1"]) {
       cluster.child(name).signal("SIGKILL");
       await cluster.child(name).exited;
-      await pause(BETWEEN_MILLISECONDS);
+      await pause(FAULT_INTERVAL_MILLISECONDS);
       cluster.start(name);
-      await pause(BETWEEN_MILLISECONDS);
+      await pause(FAULT_INTERVAL_MILLISECONDS);
     }
     cluster.child("ledger-2").signal("SIGSTOP");
-    await pause(BETWEEN_MILLISECONDS * 3);
+    await pause(FAULT_INTERVAL_MILLISECONDS * 3);
     cluster.child("ledger-2").signal("SIGCONT");
-    cluster.mesh.silenceOld();
-    await pause(BETWEEN_MILLISECONDS * 3);
+    cluster.mesh.silenceOpenConnections();
+    await pause(FAULT_INTERVAL_MILLISECONDS * 3);
     const summary = await system.endLoad(load);
     const record = await system.record();
     const { ran, notRun, unknown } = summary.unrepeatable;
@@ -52,12 +54,13 @@
   });
 });
 
-test("one key: two at once, again later, and with another body", async () => {
-  // Story: a shop's till sends an order twice at once through two entry
-  // hosts, asks again later, and a clerk reuses the key for another order.
+test("an idempotency key runs one call, and a different body is refused", async () => {
+  // Guards against duplicates of one idempotency key: two entry hosts get the
+  // same call at the same time, a third gets it later, and a fourth gets the
+  // key with another body.
   await withSystem({}, async (system) => {
-    const pay = (index: number, body: string) =>
-      ask(`${system.cluster.publicUrl(index)}/v1/services/ledger/pay`, {
+    const sendPayment = (index: number, body: string) =>
+      sendRequest(`${system.cluster.publicUrl(index)}/v1/services/ledger/pay`, {
         headers: {
           "Teaselrouter-Workspace": "desk",
           "Idempotency-Key": "order-1",
@@ -65,15 +68,15 @@
         body,
       });
     const [first, second] = await Promise.all([
-      pay(0, "two cakes"),
-      pay(2, "two cakes"),
+      sendPayment(0, "two cakes"),
+      sendPayment(2, "two cakes"),
     ]);
     assert.equal(first.status, 200);
     assert.equal(second.status, 200);
     assert.equal(first.body, second.body);
-    const later = await pay(1, "two cakes");
+    const later = await sendPayment(1, "two cakes");
     assert.equal(later.body, first.body);
-    const reused = await pay(3, "three cakes");
+    const reused = await sendPayment(3, "three cakes");
     assert.equal(reused.status, 422);
     assert.equal(reused.outcome, "not-run");
     assert.equal(reused.json["field"], "Idempotency-Key");
--- a/packages/experiments/src/failures/bad_input_test.ts
+++ b/packages/experiments/src/failures/bad_input_test.ts
@@ -2,10 +2,10 @@
 import { connect } from "node:net";
 import { test } from "node:test";
 import { isReady } from "../harness/is_ready.ts";
-import { ask } from "./ask.ts";
+import { sendRequest } from "./send_request.ts";
 import { withSystem } from "./with_system.ts";
 
-/** Sends raw bytes and gives back all that comes until the close. */
+/** Sends raw text over TCP and returns all data received until the close. */
 function sendRaw(address: string, text: string): Promise<string> {
   const { hostname, port } = new URL(address);
   return new Promise((resolve) => {
@@ -21,14 +21,14 @@
   });
 }
 
-test("bad input is answered with a reason, and the process goes on", async () => {
+test("invalid input is refused with the field at fault, and the host keeps serving", async () => {
   await withSystem({}, async (system) => {
     const entry = system.cluster.publicUrl(0);
     const ledger = `${entry}/v1/services/ledger/pay`;
     const portal = `${entry}/v1/services/portal/look`;
     const desk = { "Teaselrouter-Workspace": "desk" };
     const operator = (path: string, body: string) =>
-      ask(`${entry}/v1/operator/${path}`, { method: "PUT", body });
+      sendRequest(`${entry}/v1/operator/${path}`, { method: "PUT", body });
     const content = (rate: number) =>
       JSON.stringify({
         expected: 0,
@@ -40,9 +40,9 @@
       });
 
     const cases = [
-      [await ask(portal, { body: "x" }), 403, "Teaselrouter-Workspace"],
+      [await sendRequest(portal, { body: "x" }), 403, "Teaselrouter-Workspace"],
       [
-        await ask(portal, {
+        await sendRequest(portal, {
           headers: { "Teaselrouter-Workspace": "nobody" },
           body: "x",
         }),
@@ -50,20 +50,27 @@
         "Teaselrouter-Workspace",
       ],
       [
-        await ask(`${entry}/v1/services/nothing/x`, { headers: desk }),
+        await sendRequest(`${entry}/v1/services/nothing/x`, { headers: desk }),
         404,
         "service",
       ],
-      [await ask(ledger, { headers: desk, body: "x" }), 400, "Idempotency-Key"],
       [
-        await ask(portal, {
+        await sendRequest(ledger, { headers: desk, body: "x" }),
+        400,
+        "Idempotency-Key",
+      ],
+      [
+        await sendRequest(portal, {
           headers: { ...desk, "Teaselrouter-Deadline-Ms": "soon" },
         }),
         400,
         "Teaselrouter-Deadline-Ms",
       ],
       [
-        await ask(portal, { headers: desk, body: "x".repeat(1_100_000) }),
+        await sendRequest(portal, {
+          headers: desk,
+          body: "x".repeat(1_100_000),
+        }),
         413,
         "body",
       ],
@@ -99,8 +106,8 @@
       await sendRaw(entry, half),
       /^HTTP\/1\.1 408 .*problem\+json/s,
     );
-    assert.ok(await isReady(entry), "the entry host did not go on");
-    const good = await ask(portal, { headers: desk, body: "fine" });
+    assert.ok(await isReady(entry), "the entry host is no longer ready");
+    const good = await sendRequest(portal, { headers: desk, body: "fine" });
     assert.equal(good.status, 200);
   });
 });
--- a/packages/experiments/src/failures/chunk_sources_test.ts
+++ b/packages/experiments/src/failures/chunk_sources_test.ts
@@ -13,22 +13,29 @@
 import { Buffer } from "node:buffer";
 import { createServer, type RequestListener, type Server } from "node:http";
 import { test } from "node:test";
-import { digestOf } from "../fakes/digest_of.ts";
+import { sha256Hex } from "../fakes/sha256_hex.ts";
 import { WeightStore } from "../fakes/weight_store.ts";
-import { weightsOf } from "../fakes/weights_of.ts";
+import { generateWeights } from "../fakes/generate_weights.ts";
 import { freeAddresses } from "../harness/free_addresses.ts";
 import { waitUntil } from "../harness/wait_until.ts";
 
-const SHAPE = { totalBytes: 262_144, chunkBytes: 65_536, commonChunks: 0 };
+const WEIGHTS_SHAPE = {
+  totalBytes: 262_144,
+  chunkBytes: 65_536,
+  commonChunks: 0,
+};
 const VERSION = "model@1";
-const CHECK_MILLISECONDS = 15_000;
+const TIMEOUT_MILLISECONDS = 15_000;
 
-/** An agent's fetching parts, its origin, and one peer that is told what to do. */
-class SourcesBench {
+/**
+ * The parts of an agent that fetch chunks, an origin, and one peer whose
+ * responses the test determines.
+ */
+class ChunkFetchFixture {
   readonly cache = new WeightsCache();
   readonly client: SpreadClient;
   readonly store: WeightStore;
-  readonly failed: number[] = [];
+  readonly failedChunks: number[] = [];
   readonly peerAddress: string;
   #storeAddress: string;
   #peer: Server;
@@ -37,7 +44,7 @@
     this.#storeAddress = addresses[0]!;
     this.peerAddress = addresses[1]!;
     this.store = new WeightStore({
-      ...SHAPE,
+      ...WEIGHTS_SHAPE,
       address: this.#storeAddress,
       bytesPerSecond: 0,
       name: "model",
@@ -50,28 +57,30 @@
         pacer: new LinkPacer(0),
         storeFormat: rangeStoreFormat,
       }),
-      log: new EventLog("bench", "error"),
-      metrics: createMetrics({ name: "bench" } as Settings),
+      log: new EventLog("test", "error"),
+      metrics: createMetrics({ name: "test" } as Settings),
       random: () => 0,
       hasCoordinator: () => false,
     });
-    this.client.changed$.subscribe(({ failed }) => this.failed.push(...failed));
+    this.client.changed$.subscribe(({ failed }) =>
+      this.failedChunks.push(...failed)
+    );
   }
 
   async start(): Promise<void> {
     await this.store.start();
     await listen(this.#peer, this.peerAddress);
-    const chunks = weightsOf({ ...SHAPE, version: "1" });
+    const chunks = generateWeights({ ...WEIGHTS_SHAPE, version: "1" });
     this.client.setTarget({
       name: "model",
       version: "1",
-      total_bytes: SHAPE.totalBytes,
-      chunk_bytes: SHAPE.chunkBytes,
-      chunks: chunks.map((chunk) => digestOf([chunk])),
+      total_bytes: WEIGHTS_SHAPE.totalBytes,
+      chunk_bytes: WEIGHTS_SHAPE.chunkBytes,
+      chunks: chunks.map((chunk) => sha256Hex([chunk])),
     }, `http://${this.#storeAddress}`);
   }
 
-  order(chunks: number[], source: string): void {
+  orderChunks(chunks: number[], source: string): void {
     this.client.takePlan(create(SpreadPlanSchema, {
       version: VERSION,
       orders: chunks.map((chunk) => ({ chunk, source })),
@@ -79,12 +88,18 @@
     }));
   }
 
-  isComplete(): Promise<boolean> {
-    return waitUntil(() => this.cache.isComplete(VERSION), CHECK_MILLISECONDS);
+  waitUntilComplete(): Promise<boolean> {
+    return waitUntil(
+      () => this.cache.isComplete(VERSION),
+      TIMEOUT_MILLISECONDS,
+    );
   }
 
-  hasFailed(count: number): Promise<boolean> {
-    return waitUntil(() => this.failed.length >= count, CHECK_MILLISECONDS);
+  waitUntilFailed(count: number): Promise<boolean> {
+    return waitUntil(
+      () => this.failedChunks.length >= count,
+      TIMEOUT_MILLISECONDS,
+    );
   }
 
   stop(): void {
@@ -95,67 +110,72 @@
   }
 }
 
-async function withSources(
+async function withChunkFetchFixture(
   peer: RequestListener,
-  story: (bench: SourcesBench) => Promise<void>,
+  scenario: (fixture: ChunkFetchFixture) => Promise<void>,
 ): Promise<void> {
-  const bench = new SourcesBench(await freeAddresses(2), peer);
-  await bench.start();
+  const fixture = new ChunkFetchFixture(await freeAddresses(2), peer);
+  await fixture.start();
   try {
-    await story(bench);
+    await scenario(fixture);
   } finally {
-    bench.stop();
+    fixture.stop();
   }
 }
 
-test("a peer's damaged chunks are refused and come from elsewhere", async () => {
-  // Story: a peer's memory is bad: its chunks have the right length and the
-  // wrong bytes. None may count as held; the origin's whole ones do.
+test("a peer's damaged chunks are rejected and fetched from the origin", async () => {
+  // Guards against accepting chunks by their length alone: a peer with faulty
+  // memory sends chunks of the right length with wrong bytes. None of them may
+  // count as held; the origin's undamaged ones do.
   const damaged: RequestListener = (_request, response) => {
-    response.end(Buffer.alloc(SHAPE.chunkBytes, 7));
+    response.end(Buffer.alloc(WEIGHTS_SHAPE.chunkBytes, 7));
   };
-  await withSources(damaged, async (bench) => {
-    bench.order([0, 1, 2, 3], bench.peerAddress);
-    assert.ok(await bench.hasFailed(4));
-    assert.equal(bench.cache.held(VERSION)!.count, 0);
-    bench.order([0, 1, 2, 3], "");
-    assert.ok(await bench.isComplete());
+  await withChunkFetchFixture(damaged, async (fixture) => {
+    fixture.orderChunks([0, 1, 2, 3], fixture.peerAddress);
+    assert.ok(await fixture.waitUntilFailed(4));
+    assert.equal(fixture.cache.held(VERSION)!.count, 0);
+    fixture.orderChunks([0, 1, 2, 3], "");
+    assert.ok(await fixture.waitUntilComplete());
   });
 });
 
-test("the origin's damaged chunks are refused until it is whole again", async () => {
-  await withSources((_request, response) => response.end(), async (bench) => {
-    bench.store.corrupt = true;
-    bench.order([0, 1, 2, 3], "");
-    assert.ok(await bench.hasFailed(4));
-    assert.equal(bench.cache.held(VERSION)!.count, 0);
-    bench.store.corrupt = false;
-    bench.order([0, 1, 2, 3], "");
-    assert.ok(await bench.isComplete());
-  });
+test("the origin's damaged chunks are rejected until it sends undamaged ones", async () => {
+  await withChunkFetchFixture(
+    (_request, response) => response.end(),
+    async (fixture) => {
+      fixture.store.isCorrupt = true;
+      fixture.orderChunks([0, 1, 2, 3], "");
+      assert.ok(await fixture.waitUntilFailed(4));
+      assert.equal(fixture.cache.held(VERSION)!.count, 0);
+      fixture.store.isCorrupt = false;
+      fixture.orderChunks([0, 1, 2, 3], "");
+      assert.ok(await fixture.waitUntilComplete());
+    },
+  );
 });
 
-test("a peer that stalls without closing is given up", async () => {
+test("a fetch from a peer that stalls without closing times out", async () => {
   const stalling: RequestListener = (_request, response) => {
-    response.writeHead(200, { "Content-Length": SHAPE.chunkBytes });
+    response.writeHead(200, { "Content-Length": WEIGHTS_SHAPE.chunkBytes });
     response.write(Buffer.alloc(10));
   };
-  await withSources(stalling, async (bench) => {
-    bench.order([2], bench.peerAddress);
-    assert.ok(await bench.hasFailed(1), "the fetch was never given up");
-    bench.order([0, 1, 2, 3], "");
-    assert.ok(await bench.isComplete());
+  await withChunkFetchFixture(stalling, async (fixture) => {
+    fixture.orderChunks([2], fixture.peerAddress);
+    assert.ok(await fixture.waitUntilFailed(1), "the fetch did not time out");
+    fixture.orderChunks([0, 1, 2, 3], "");
+    assert.ok(await fixture.waitUntilComplete());
   });
 });
 
-test("with no plan, an agent goes on among its peers and the origin", async () => {
-  // Story: the coordinator is gone and no other takes over. What the last
-  // plan said of peers is still known, and the origin can be asked.
+test("without a new plan, an agent fetches from known peers and the origin", async () => {
+  // Guards against an agent that stops when its coordinator is lost and no
+  // other takes over. The agent keeps the peers of the last plan, and the
+  // origin is reachable.
   const empty: RequestListener = (_request, response) => {
     response.writeHead(404).end();
   };
-  await withSources(empty, async (bench) => {
-    bench.order([0], "");
-    assert.ok(await bench.isComplete(), "it waited for a plan");
+  await withChunkFetchFixture(empty, async (fixture) => {
+    fixture.orderChunks([0], "");
+    assert.ok(await fixture.waitUntilComplete(), "the agent waited for a plan");
   });
 });
--- a/packages/experiments/src/failures/claim_steps_test.ts
+++ b/packages/experiments/src/failures/claim_steps_test.ts
@@ -25,15 +25,22 @@
 import { FakeService } from "../fakes/fake_service.ts";
 import { freeAddresses } from "../harness/free_addresses.ts";
 
-const STORY_MILLISECONDS = 60_000;
+const ANNOUNCEMENT_LIFETIME_MILLISECONDS = 60_000;
 const CALL_MILLISECONDS = 60;
-/** So long that a busy machine surely kills within it. */
+/** Long enough for the agent to be killed during the call on a busy machine. */
 const LONG_CALL_MILLISECONDS = 1_000;
-const BODY = "pay for the wedding";
+const CALL_BODY = "pay for the wedding";
 
-type Fault = "not-proposed" | "lost-before" | "lost-after" | undefined;
+/**
+ * How a proposal fails: it is refused, it is lost before it is applied, or it
+ * is applied and the reply is lost.
+ */
+type Fault = "not-proposed" | "proposal-lost" | "reply-lost" | undefined;
 
-/** A log of one copy whose answers can be lost on either side. */
+/**
+ * A replicated log with a single member. Each entry of `faults` fails the next
+ * proposal of one kind of command.
+ */
 class FaultyLog implements Proposer {
   readonly state = emptyControlState();
   faults: Partial<Record<Command["kind"], Fault>> = {};
@@ -45,10 +52,10 @@
     if (fault === "not-proposed") {
       return Promise.resolve({ kind: "not-proposed" });
     }
-    if (fault === "lost-before") return Promise.resolve({ kind: "unknown" });
+    if (fault === "proposal-lost") return Promise.resolve({ kind: "unknown" });
     this.#index += 1;
     const answer = applyCommand(this.state, command, this.#index);
-    if (fault === "lost-after") return Promise.resolve({ kind: "unknown" });
+    if (fault === "reply-lost") return Promise.resolve({ kind: "unknown" });
     return Promise.resolve({
       kind: "committed",
       index: this.#index,
@@ -59,8 +66,11 @@
   }
 }
 
-/** One agent process with its service; it can be replaced by a new one. */
-class ClaimBench {
+/**
+ * One agent process and its service. The test can kill the agent and start
+ * another one in its place.
+ */
+class ClaimFixture {
   readonly log = new FaultyLog();
   readonly table = new BackendServerTable();
   readonly clients = new ClientPool();
@@ -95,7 +105,7 @@
       servingVersion: "",
       accepting: true,
       linkBytesPerSecond: 0,
-    }, Date.now() + STORY_MILLISECONDS);
+    }, Date.now() + ANNOUNCEMENT_LIFETIME_MILLISECONDS);
     this.table.set(this.#row);
   }
 
@@ -113,7 +123,7 @@
       repeatable: false,
       uses_weights: false,
       slots: 2,
-    }, Date.now() + STORY_MILLISECONDS);
+    }, Date.now() + ANNOUNCEMENT_LIFETIME_MILLISECONDS);
     this.#runner = new CallRunner({
       state: this.agentState,
       engine: new EngineClient(() => undefined),
@@ -138,8 +148,12 @@
     this.clients.close();
   }
 
-  /** The caller asks, through any entry host: they share only the log. */
-  async ask(milliseconds = 4_000): Promise<string> {
+  /**
+   * Makes the call through a new entry host, which shares only the replicated
+   * log with the previous ones. Returns the answer's body, or the outcome of a
+   * call that was not answered.
+   */
+  async sendCall(milliseconds = 4_000): Promise<string> {
     const outliers = new OutlierDetector();
     const policy = new RoundRobinPolicy();
     const { log: control, table, clients } = this;
@@ -157,7 +171,7 @@
       workspace: "desk",
       service: "ledger",
       path: "/pay",
-      body: Buffer.from(BODY),
+      body: Buffer.from(CALL_BODY),
       contentType: "text/plain",
       idempotencyKey: "order-1",
       deadlineMilliseconds: milliseconds,
@@ -171,134 +185,147 @@
       : outcome.problem.outcome;
   }
 
-  get runs(): number {
-    return this.service.ran.length;
+  get runCount(): number {
+    return this.service.executedBodies.length;
   }
 }
 
-function step(
+function testClaim(
   name: string,
-  story: (bench: ClaimBench) => Promise<void>,
+  scenario: (fixture: ClaimFixture) => Promise<void>,
   callMilliseconds = CALL_MILLISECONDS,
 ): void {
   test(name, async () => {
-    const bench = new ClaimBench(await freeAddresses(3), callMilliseconds);
-    await bench.start();
+    const fixture = new ClaimFixture(await freeAddresses(3), callMilliseconds);
+    await fixture.start();
     try {
-      await story(bench);
+      await scenario(fixture);
     } finally {
-      bench.stop();
+      fixture.stop();
     }
   });
 }
 
-const ANSWER = FakeService.answerTo(BODY);
+const ANSWER = FakeService.answerTo(CALL_BODY);
 
-step(
-  "the claim is not proposed: not run, and free to ask again",
-  async (bench) => {
-    bench.log.faults = { claim: "not-proposed" };
-    assert.equal(await bench.ask(), "not-run");
-    assert.equal(bench.runs, 0);
-    assert.equal(await bench.ask(), ANSWER);
-    assert.equal(bench.runs, 1);
+testClaim(
+  "the claim is not proposed: the call is not run and can be retried",
+  async (fixture) => {
+    fixture.log.faults = { claim: "not-proposed" };
+    assert.equal(await fixture.sendCall(), "not-run");
+    assert.equal(fixture.runCount, 0);
+    assert.equal(await fixture.sendCall(), ANSWER);
+    assert.equal(fixture.runCount, 1);
   },
 );
 
-step("the claim's proposal is lost on its way", async (bench) => {
-  bench.log.faults = { claim: "lost-before" };
-  assert.equal(await bench.ask(), "unknown");
-  assert.equal(await bench.ask(), ANSWER);
-  assert.equal(bench.runs, 1);
-});
+testClaim(
+  "the claim's proposal is lost before it is applied",
+  async (fixture) => {
+    fixture.log.faults = { claim: "proposal-lost" };
+    assert.equal(await fixture.sendCall(), "unknown");
+    assert.equal(await fixture.sendCall(), ANSWER);
+    assert.equal(fixture.runCount, 1);
+  },
+);
 
-step("the claim stands but its answer is lost", async (bench) => {
-  // Story: the entry host never learns that its claim was accepted, or dies
-  // just then. Asked again, the agent is asked, promises never to run the
-  // lost claim, and the call is claimed anew.
-  bench.log.faults = { claim: "lost-after" };
-  assert.equal(await bench.ask(), "unknown");
-  assert.equal(bench.runs, 0);
-  assert.equal(await bench.ask(), ANSWER);
-  assert.equal(bench.runs, 1);
+testClaim("the claim is applied but the reply is lost", async (fixture) => {
+  // Guards against a claim that blocks its key for good: the entry host does
+  // not learn that the claim was accepted, or dies at that moment. On the
+  // retry the agent tombstones the old claim, which then never runs, and the
+  // call is claimed again.
+  fixture.log.faults = { claim: "reply-lost" };
+  assert.equal(await fixture.sendCall(), "unknown");
+  assert.equal(fixture.runCount, 0);
+  assert.equal(await fixture.sendCall(), ANSWER);
+  assert.equal(fixture.runCount, 1);
 });
 
-step("the caller gives up while the call runs", async (bench) => {
-  assert.equal(await bench.ask(30), "unknown");
-  assert.equal(await bench.ask(), ANSWER);
-  assert.equal(bench.runs, 1);
-});
+testClaim(
+  "the caller's deadline passes while the call runs",
+  async (fixture) => {
+    assert.equal(await fixture.sendCall(30), "unknown");
+    assert.equal(await fixture.sendCall(), ANSWER);
+    assert.equal(fixture.runCount, 1);
+  },
+);
 
-step("the outcome's record is lost on its way", async (bench) => {
-  bench.log.faults = { "settle-claim": "lost-before" };
-  assert.equal(await bench.ask(), "unknown");
-  assert.equal(await bench.ask(), ANSWER);
-  assert.equal(bench.runs, 1);
-});
+testClaim(
+  "the record of the outcome is lost before it is applied",
+  async (fixture) => {
+    fixture.log.faults = { "settle-claim": "proposal-lost" };
+    assert.equal(await fixture.sendCall(), "unknown");
+    assert.equal(await fixture.sendCall(), ANSWER);
+    assert.equal(fixture.runCount, 1);
+  },
+);
 
-step(
-  "the outcome is recorded but the answer to that is lost",
-  async (bench) => {
-    bench.log.faults = { "settle-claim": "lost-after" };
-    assert.equal(await bench.ask(), "unknown");
-    assert.equal(await bench.ask(), ANSWER);
-    assert.equal(bench.runs, 1);
+testClaim(
+  "the outcome is recorded but the reply is lost",
+  async (fixture) => {
+    fixture.log.faults = { "settle-claim": "reply-lost" };
+    assert.equal(await fixture.sendCall(), "unknown");
+    assert.equal(await fixture.sendCall(), ANSWER);
+    assert.equal(fixture.runCount, 1);
   },
 );
 
-step("the agent is killed before the call reaches it", async (bench) => {
-  bench.killAgent();
-  assert.equal(await bench.ask(2_000), "unknown");
-  await bench.startAgent("second");
-  // Only the dead process could have told whether it had run.
-  assert.equal(await bench.ask(), "unknown");
-  assert.equal(bench.runs, 0);
+testClaim("the agent is killed before the call reaches it", async (fixture) => {
+  fixture.killAgent();
+  assert.equal(await fixture.sendCall(2_000), "unknown");
+  await fixture.startAgent("second");
+  // Only the killed process knew whether the call had run.
+  assert.equal(await fixture.sendCall(), "unknown");
+  assert.equal(fixture.runCount, 0);
 });
 
-step("the agent is killed while the call runs", async (bench) => {
-  const asking = bench.ask(2_000);
-  while (bench.runs === 0) await pause(2);
-  bench.killAgent();
+testClaim("the agent is killed while the call runs", async (fixture) => {
+  const asking = fixture.sendCall(2_000);
+  while (fixture.runCount === 0) await pause(2);
+  fixture.killAgent();
   assert.equal(await asking, "unknown");
-  await bench.startAgent("second");
-  assert.equal(await bench.ask(), "unknown");
-  assert.equal(bench.runs, 1);
+  await fixture.startAgent("second");
+  assert.equal(await fixture.sendCall(), "unknown");
+  assert.equal(fixture.runCount, 1);
 }, LONG_CALL_MILLISECONDS);
 
-step("the agent is killed after the answer was recorded", async (bench) => {
-  assert.equal(await bench.ask(), ANSWER);
-  bench.killAgent();
-  await bench.startAgent("second");
-  assert.equal(await bench.ask(), ANSWER);
-  assert.equal(bench.runs, 1);
-});
+testClaim(
+  "the agent is killed after the answer was recorded",
+  async (fixture) => {
+    assert.equal(await fixture.sendCall(), ANSWER);
+    fixture.killAgent();
+    await fixture.startAgent("second");
+    assert.equal(await fixture.sendCall(), ANSWER);
+    assert.equal(fixture.runCount, 1);
+  },
+);
 
-step(
-  "the agent refuses: not run, withdrawn, and free to ask again",
-  async (bench) => {
-    bench.agentState.stop();
-    assert.equal(await bench.ask(), "not-run");
-    assert.equal(bench.log.state.claims.size, 0);
-    assert.equal(bench.runs, 0);
+testClaim(
+  "the agent refuses: the call is not run and its claim is withdrawn",
+  async (fixture) => {
+    fixture.agentState.stop();
+    assert.equal(await fixture.sendCall(), "not-run");
+    assert.equal(fixture.log.state.claims.size, 0);
+    assert.equal(fixture.runCount, 0);
   },
 );
 
-step(
-  "the withdrawal's record is lost: unknown, then run once",
-  async (bench) => {
-    bench.agentState.setLoading(true);
-    bench.log.faults = { "cancel-claim": "lost-before" };
-    assert.equal(await bench.ask(), "unknown");
-    bench.agentState.setLoading(false);
-    assert.equal(await bench.ask(), ANSWER);
-    assert.equal(bench.runs, 1);
+testClaim(
+  "the claim's withdrawal is lost: unknown, then run once on a retry",
+  async (fixture) => {
+    fixture.agentState.setLoading(true);
+    fixture.log.faults = { "cancel-claim": "proposal-lost" };
+    assert.equal(await fixture.sendCall(), "unknown");
+    fixture.agentState.setLoading(false);
+    assert.equal(await fixture.sendCall(), ANSWER);
+    assert.equal(fixture.runCount, 1);
   },
 );
 
-step("many ask at once with one key", async (bench) => {
+testClaim("concurrent calls with one key run once", async (fixture) => {
   const answers = await Promise.all(
-    Array.from({ length: 8 }, () => bench.ask()),
+    Array.from({ length: 8 }, () => fixture.sendCall()),
   );
   assert.deepEqual([...new Set(answers)], [ANSWER]);
-  assert.equal(bench.runs, 1);
+  assert.equal(fixture.runCount, 1);
 });
--- a/packages/experiments/src/failures/crashing_calls_test.ts
+++ b/packages/experiments/src/failures/crashing_calls_test.ts
@@ -24,20 +24,26 @@
 import type { ServerResponse } from "node:http";
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { EndingService } from "../fakes/ending_service.ts";
+import { CrashingService } from "../fakes/crashing_service.ts";
 import { freeAddresses } from "../harness/free_addresses.ts";
 
-const CRASHING = "crash";
-const SERVERS = 4;
-const ENTRY_HOSTS = 2;
-const ROUNDS = 8;
+const CRASHING_BODY = "crash";
+const SERVER_COUNT = 4;
+const ENTRY_HOST_COUNT = 2;
+const ROUND_COUNT = 8;
 const ROUND_MILLISECONDS = 400;
-const LIVE_MILLISECONDS = 60_000;
-/** Three seen by one entry host, and two by the other before it is told. */
-const MOST_ENDS = 5;
+const ANNOUNCEMENT_LIFETIME_MILLISECONDS = 60_000;
+/**
+ * One entry host sees three crashes; the other sees two before the replicated
+ * tables tell it of the blame.
+ */
+const MAX_CRASHES = 5;
 
-/** The replicated log, applied at once, and who follows it. */
-class Log {
+/**
+ * A replicated log that applies each command at once and passes the new state
+ * to its followers, one per entry host.
+ */
+class InMemoryLog {
   readonly state = emptyControlState();
   readonly followers: CallCrashes[] = [];
   #index = 0;
@@ -57,25 +63,25 @@
   }
 }
 
-/** Backend servers with their agents, and entry hosts that share the log. */
-class Bench {
-  readonly services: EndingService[] = [];
+/** 4 backend servers with their agents, and 2 entry hosts that share the log. */
+class CrashFixture {
+  readonly services: CrashingService[] = [];
   readonly crashes: CallCrashes[] = [];
   #table = new BackendServerTable();
   #clients = new ClientPool();
   #runners: CallRunner[] = [];
   #servers: InternalServer[] = [];
-  #log = new Log();
+  #log = new InMemoryLog();
 
   async start(): Promise<void> {
-    for (let index = 0; index < SERVERS; index += 1) {
+    for (let index = 0; index < SERVER_COUNT; index += 1) {
       await this.#startServer(`portal-${index}`);
     }
     const log = new EventLog("entry", "error", undefined, {
       write: () => undefined,
       flush: () => Promise.resolve(),
     });
-    for (let index = 0; index < ENTRY_HOSTS; index += 1) {
+    for (let index = 0; index < ENTRY_HOST_COUNT; index += 1) {
       this.crashes.push(new CallCrashes({ control: this.#log, log }));
     }
     this.#log.followers.push(...this.crashes);
@@ -89,14 +95,17 @@
     this.#clients.close();
   }
 
-  get ends(): number {
-    return this.services.reduce((sum, { ends }) => sum + ends, 0);
+  get crashCount(): number {
+    return this.services.reduce((sum, { crashCount }) => sum + crashCount, 0);
   }
 
-  /** What an entry host does with a call; undefined once it is answered. */
-  async ask(host: number, body: string): Promise<Problem | undefined> {
+  /**
+   * Handles a call as entry host number `host` does. Returns the problem that
+   * the caller would get, or undefined if the call was answered.
+   */
+  async handleCall(host: number, body: string): Promise<Problem | undefined> {
     const crashes = this.crashes[host]!;
-    const call = callOf(body);
+    const call = createCall(body);
     const refusal = crashes.refusal(call);
     if (refusal !== undefined) return refusal;
     const outliers = new OutlierDetector();
@@ -112,13 +121,16 @@
         crashes,
       },
       call,
-      quietResponse(),
+      createStubResponse(),
     ).run();
   }
 
   async #startServer(name: string): Promise<void> {
     const [address, agentAddress] = await freeAddresses(2);
-    const service = new EndingService({ address: address!, endsOn: CRASHING });
+    const service = new CrashingService({
+      address: address!,
+      crashBody: CRASHING_BODY,
+    });
     await service.start();
     this.services.push(service);
     const state = new AgentState();
@@ -129,7 +141,7 @@
       repeatable: true,
       uses_weights: false,
       slots: 2,
-    }, Date.now() + LIVE_MILLISECONDS);
+    }, Date.now() + ANNOUNCEMENT_LIFETIME_MILLISECONDS);
     const runner = new CallRunner({
       state,
       engine: new EngineClient(() => undefined),
@@ -153,11 +165,11 @@
       servingVersion: "",
       accepting: true,
       linkBytesPerSecond: 0,
-    }, Date.now() + LIVE_MILLISECONDS));
+    }, Date.now() + ANNOUNCEMENT_LIFETIME_MILLISECONDS));
   }
 }
 
-function callOf(body: string): CheckedCall {
+function createCall(body: string): CheckedCall {
   return {
     workspace: "desk",
     service: "portal",
@@ -171,7 +183,7 @@
   };
 }
 
-function quietResponse(): ServerResponse {
+function createStubResponse(): ServerResponse {
   return Object.assign(new EventEmitter(), {
     headersSent: false,
     setHeader: () => undefined,
@@ -180,39 +192,44 @@
   }) as unknown as ServerResponse;
 }
 
-// Guards against a call that ends one backend server after the other through
-// entry hosts and agents.
-test("a call that ends backend servers is refused by every entry host", async () => {
-  const bench = new Bench();
+// Guards against a call that reaches one backend server after the other through
+// entry hosts and agents, and crashes each.
+test("a call that crashes backend servers is refused by every entry host", async () => {
+  const fixture = new CrashFixture();
   try {
-    await bench.start();
+    await fixture.start();
     const answers = [];
-    for (let round = 0; round < ROUNDS; round += 1) {
-      answers.push(await bench.ask(round % ENTRY_HOSTS, CRASHING));
+    for (let round = 0; round < ROUND_COUNT; round += 1) {
+      answers.push(
+        await fixture.handleCall(round % ENTRY_HOST_COUNT, CRASHING_BODY),
+      );
       await pause(ROUND_MILLISECONDS);
     }
-    assert.ok(bench.ends <= MOST_ENDS, `${bench.ends} ends`);
-    assert.ok(bench.ends >= 3);
+    assert.ok(
+      fixture.crashCount <= MAX_CRASHES,
+      `${fixture.crashCount} crashes`,
+    );
+    assert.ok(fixture.crashCount >= 3);
     assert.deepEqual(
-      answers.slice(-ENTRY_HOSTS).map((problem) => problem?.type),
-      Array.from({ length: ENTRY_HOSTS }, () => "ends-backend-servers"),
+      answers.slice(-ENTRY_HOST_COUNT).map((problem) => problem?.type),
+      Array.from({ length: ENTRY_HOST_COUNT }, () => "ends-backend-servers"),
     );
-    assert.equal(await bench.ask(0, "a bag list"), undefined);
+    assert.equal(await fixture.handleCall(0, "a bag list"), undefined);
   } finally {
-    bench.stop();
+    fixture.stop();
   }
 });
 
-// Guards against a promise that a call has not run which a backend server had
-// begun when it ended.
-test("a call that a backend server ended under is not said not to have run", async () => {
-  const bench = new Bench();
+// Guards against reporting a call as not run although a backend server had
+// begun to run it before it crashed.
+test("a call during which a backend server crashed is reported as unknown", async () => {
+  const fixture = new CrashFixture();
   try {
-    await bench.start();
-    const problem = await bench.ask(0, CRASHING);
-    assert.ok(bench.ends > 0);
+    await fixture.start();
+    const problem = await fixture.handleCall(0, CRASHING_BODY);
+    assert.ok(fixture.crashCount > 0);
     assert.equal(problem?.outcome, "unknown");
   } finally {
-    bench.stop();
+    fixture.stop();
   }
 });
--- a/packages/experiments/src/failures/exchange_test.ts
+++ b/packages/experiments/src/failures/exchange_test.ts
@@ -3,9 +3,9 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { waitUntil } from "../harness/wait_until.ts";
-import { withBench } from "./with_bench.ts";
+import { withAgentFixture } from "./with_bench.ts";
 
-const CHECK_MILLISECONDS = 10_000;
+const TIMEOUT_MILLISECONDS = 10_000;
 
 async function readFrom(
   exchange: Exchange,
@@ -18,53 +18,61 @@
   return text;
 }
 
-test("a caller that leaves frees the engine at once", async () => {
-  // Story: a caller hangs up in the middle of a long answer. The engine must
-  // not go on for nobody while others wait for its slot.
-  await withBench(true, async (bench) => {
-    bench.target("1");
-    assert.ok(await bench.serves("1"));
-    bench.send("left alone");
-    await waitUntil(() => bench.engine.calls === 1, CHECK_MILLISECONDS);
-    bench.cancel("left alone");
+test("a cancelled call frees the engine at once", async () => {
+  // Guards against wasted engine slots: a caller disconnects in the middle of
+  // a long answer, while other calls wait for the slot.
+  await withAgentFixture(true, async (fixture) => {
+    fixture.setCompleteTarget("1");
+    assert.ok(await fixture.waitUntilServing("1"));
+    fixture.startCall("left alone");
+    await waitUntil(
+      () => fixture.engine.startedCalls === 1,
+      TIMEOUT_MILLISECONDS,
+    );
+    fixture.cancel("left alone");
     const freed = await waitUntil(
-      () => bench.engine.abandoned === 1 && bench.running === 0,
-      CHECK_MILLISECONDS,
+      () => fixture.engine.abandonedCalls === 1 && fixture.runningCalls === 0,
+      TIMEOUT_MILLISECONDS,
     );
-    assert.ok(freed, "the engine went on");
+    assert.ok(freed, "the engine kept running the call");
   });
 });
 
-test("an answer that nobody reads is given up by itself", async () => {
-  // Story: the entry host died with its caller's connection, so no cancel
-  // ever comes. A repeatable call is not worked on for long after that.
-  await withBench(true, async (bench) => {
-    bench.engine.stallsAnswers = true;
-    bench.target("1");
-    assert.ok(await bench.serves("1"));
-    bench.send("nobody reads");
+test("a repeatable call whose answer nobody reads is cancelled", async () => {
+  // Guards against calls that run for a caller that is gone: the entry host
+  // died together with the caller's connection, so it sends no cancel. The
+  // agent must cancel a repeatable call by itself soon after that.
+  await withAgentFixture(true, async (fixture) => {
+    fixture.engine.stallsAnswers = true;
+    fixture.setCompleteTarget("1");
+    assert.ok(await fixture.waitUntilServing("1"));
+    fixture.startCall("nobody reads");
     const freed = await waitUntil(
-      () => bench.running === 0 && bench.engine.calls === 1,
-      CHECK_MILLISECONDS,
+      () => fixture.runningCalls === 0 && fixture.engine.startedCalls === 1,
+      TIMEOUT_MILLISECONDS,
     );
-    assert.ok(freed, "the call was kept for nobody");
+    assert.ok(freed, "the call was not cancelled");
   });
 });
 
 test("an answer can be read again from any offset", async () => {
-  // Story: a connection goes silent in the middle of an answer. The reader
-  // comes back over a new one and takes the answer up where it stopped.
-  await withBench(true, async (bench) => {
-    bench.target("1");
-    assert.ok(await bench.serves("1"));
-    const exchange = bench.send("read twice");
+  // Guards against answers lost with a connection that goes silent: the reader
+  // reconnects and continues the answer at the offset where it stopped.
+  await withAgentFixture(true, async (fixture) => {
+    fixture.setCompleteTarget("1");
+    assert.ok(await fixture.waitUntilServing("1"));
+    const exchange = fixture.startCall("read twice");
     await pause(20);
     const whole = await readFrom(exchange, 0);
     assert.ok(whole.length > 100);
     for (const offset of [0, 1, 99, whole.length - 1, whole.length]) {
       assert.equal(await readFrom(exchange, offset), whole.slice(offset));
     }
-    assert.equal(bench.send("read twice"), exchange, "it ran a second time");
-    assert.equal(bench.engine.calls, 1);
+    assert.equal(
+      fixture.startCall("read twice"),
+      exchange,
+      "the call ran a second time",
+    );
+    assert.equal(fixture.engine.startedCalls, 1);
   });
 });
--- a/packages/experiments/src/failures/live_requests_test.ts
+++ b/packages/experiments/src/failures/live_requests_test.ts
@@ -6,8 +6,8 @@
 import { withSystem } from "./with_system.ts";
 
 const SEED = 4;
-const STORY_MILLISECONDS = 2_500;
-const CHECK_MILLISECONDS = 20_000;
+const LOAD_PHASE_MILLISECONDS = 2_500;
+const TIMEOUT_MILLISECONDS = 20_000;
 
 const MODEL_LOAD = {
   workspace: "desk",
@@ -18,18 +18,18 @@
   ],
 };
 
-test("links that go silent for good lose no answer", async () => {
-  // Story: something between the data centres loses track of all open
-  // connections. They stay open and say nothing, while new ones work. Every
-  // answer under way must be taken up again where it stopped.
+test("connections that go silent for good lose no answer", async () => {
+  // Guards against answers lost when a device between the data centres loses
+  // track of all open connections: they stay open but carry no data, while
+  // new ones work. Every answer in flight must be continued where it stopped.
   await withSystem({ withRelays: true }, async (system) => {
     await system.spread("1", 3);
     const load = system.startLoad(MODEL_LOAD);
     for (let round = 0; round < 3; round += 1) {
-      await pause(STORY_MILLISECONDS);
-      system.cluster.mesh.silenceOld();
+      await pause(LOAD_PHASE_MILLISECONDS);
+      system.cluster.mesh.silenceOpenConnections();
     }
-    await pause(STORY_MILLISECONDS);
+    await pause(LOAD_PHASE_MILLISECONDS);
     const { services, wrongDetails } = await system.endLoad(load);
     const { drafter } = services;
     console.log(`seed ${SEED}: ${JSON.stringify(drafter)}`);
@@ -39,15 +39,15 @@
   });
 });
 
-test("planned stops cut off nothing", async () => {
-  // Story: an agent and an entry host are stopped for maintenance one after
-  // the other, while calls flow through them. Each ends by itself, and no
-  // call that was taken is cut off or wrong.
+test("planned stops break no answer", async () => {
+  // Guards against broken or wrong answers at maintenance: an agent and then
+  // an entry host that handle calls get SIGTERM. Each must finish the calls
+  // that it accepted and exit with 0.
   await withSystem({}, async (system) => {
     await system.spread("1", 3);
     const { cluster } = system;
     const load = system.startLoad(MODEL_LOAD);
-    await pause(STORY_MILLISECONDS / 2);
+    await pause(LOAD_PHASE_MILLISECONDS / 2);
     for (const name of ["drafter-2", "van-2"]) {
       cluster.child(name).signal("SIGTERM");
       assert.equal(await cluster.child(name).exited, 0);
@@ -62,27 +62,28 @@
   });
 });
 
-test("a killed agent costs only the answers that had begun", async () => {
-  // Story: an agent dies with calls under way. Calls whose answer had not
-  // begun move on; none is wrong; a begun one is broken, never ended short.
+test("a killed agent breaks only answers that had begun", async () => {
+  // Guards against wrong or truncated answers when an agent dies with calls in
+  // flight. Calls whose answer had not begun are sent to another agent. An
+  // answer that had begun ends with a broken connection, never as if complete.
   await withSystem({}, async (system) => {
     await system.spread("1", 3);
     const { cluster } = system;
     const load = system.startLoad(MODEL_LOAD);
-    await pause(STORY_MILLISECONDS / 2);
+    await pause(LOAD_PHASE_MILLISECONDS / 2);
     cluster.child("drafter-1").signal("SIGKILL");
     await cluster.child("drafter-1").exited;
-    await pause(STORY_MILLISECONDS);
+    await pause(LOAD_PHASE_MILLISECONDS);
     cluster.start("drafter-1");
     const back = await waitUntil(async () => {
       const status = await fetchStatus(cluster.publicUrl(0));
       return status?.weights[0]?.live === 3;
-    }, CHECK_MILLISECONDS);
+    }, TIMEOUT_MILLISECONDS);
     const { drafter } = (await system.endLoad(load)).services;
     console.log(`seed ${SEED}: ${JSON.stringify(drafter)}`);
-    assert.ok(back, "the restarted agent did not come live again");
+    assert.ok(back, "the restarted agent does not serve the version again");
     assert.equal(drafter!.wrong, 0);
-    // Eight slots were all that one agent could have had under way.
+    // One agent has eight slots, so at most eight answers had begun.
     assert.ok(drafter!.cut <= 8, `${drafter!.cut} answers were broken`);
     assert.equal(drafter!.whole + drafter!.cut, drafter!.sent);
   });
@@ -92,10 +93,10 @@
   await withSystem({}, async (system) => {
     await system.spread("1", 3);
     const load = system.startLoad(MODEL_LOAD);
-    await pause(STORY_MILLISECONDS / 2);
+    await pause(LOAD_PHASE_MILLISECONDS / 2);
     await system.client(["backend", "drain", "drafter-3"]);
     // The command returns once every entry host has applied it.
-    await pause(STORY_MILLISECONDS / 4);
+    await pause(LOAD_PHASE_MILLISECONDS / 4);
     const status = await fetchStatus(system.cluster.publicUrl(0));
     const row = status!.backend_servers.find((server) =>
       server.backend_server === "drafter-3"
--- a/packages/experiments/src/failures/partition_test.ts
+++ b/packages/experiments/src/failures/partition_test.ts
@@ -3,80 +3,93 @@
 import { fetchStatus } from "../harness/fetch_status.ts";
 import type { RunningSystem } from "../harness/running_system.ts";
 import { waitUntil } from "../harness/wait_until.ts";
-import { ask } from "./ask.ts";
+import { sendRequest } from "./send_request.ts";
 import { withSystem } from "./with_system.ts";
 
-const CHECK_MILLISECONDS = 15_000;
-const DESK = { "Teaselrouter-Workspace": "desk" };
+const TIMEOUT_MILLISECONDS = 15_000;
+const DESK_HEADERS = { "Teaselrouter-Workspace": "desk" };
 
+/** Returns the exit status of the operators' client: 0 if it succeeded. */
 async function changeRate(
   system: RunningSystem,
   name: string,
   rate: string,
 ): Promise<number | null> {
-  const words = ["contract", "change", "desk", "--rate", rate];
-  return (await system.clientAt(name, words)).exit;
+  const args = ["contract", "change", "desk", "--rate", rate];
+  return (await system.runClientAt(name, args)).exitStatus;
 }
 
-async function losesLease(
+/** Returns false if the entry host still has its lease after 15 s. */
+async function waitForLeaseLoss(
   system: RunningSystem,
   name: string,
 ): Promise<boolean> {
   const entry = system.entryUrl(name);
   return await waitUntil(
     async () => (await fetchStatus(entry))?.has_lease === false,
-    CHECK_MILLISECONDS,
+    TIMEOUT_MILLISECONDS,
   );
 }
 
-test("a cut-off data centre refuses changes, serves calls, and catches up", async () => {
-  // Story: a switch drops all packets between one data centre and the rest.
-  // Its entry host must refuse changes and unrepeatable calls as not run,
-  // and go on answering model calls from its own engine. The others go on.
-  // After healing, nothing that was accepted has been taken back.
+test("a partitioned data centre refuses changes, serves model calls, and catches up", async () => {
+  // Guards against a split brain: a switch drops all packets between one data
+  // centre and the rest. Its entry host must refuse changes and unrepeatable
+  // calls as not run, and still answer model calls from its own engine. The
+  // other data centres keep accepting changes. Once the partition heals, every
+  // accepted change must still be there.
   await withSystem({ withRelays: true }, async (system) => {
     await system.spread("1", 3);
-    const cut = system.entryUrl("pgr-1");
+    const partitionedUrl = system.entryUrl("pgr-1");
     system.cluster.mesh.cutOff("pgr", "silent");
-    assert.ok(await losesLease(system, "pgr-1"), "the cut was not noticed");
+    assert.ok(
+      await waitForLeaseLoss(system, "pgr-1"),
+      "the entry host kept its lease",
+    );
 
     assert.equal(await changeRate(system, "pgr-1", "999"), 1);
-    const claim = await ask(`${cut}/v1/services/ledger/pay`, {
-      headers: { ...DESK, "Idempotency-Key": "cut-1" },
-      body: "pay once",
-    });
+    const claim = await sendRequest(
+      `${partitionedUrl}/v1/services/ledger/pay`,
+      {
+        headers: { ...DESK_HEADERS, "Idempotency-Key": "cut-1" },
+        body: "pay once",
+      },
+    );
     assert.equal(claim.status, 503);
-    // It can't know whether the key ran elsewhere before the cut.
+    // This host can't know whether the key ran elsewhere before the partition.
     assert.equal(claim.outcome, "unknown");
     assert.ok(Number(claim.retryAfter) >= 1);
-    const model = await ask(`${cut}/v1/services/drafter/write`, {
-      headers: DESK,
-      body: "a summary",
-    });
+    const model = await sendRequest(
+      `${partitionedUrl}/v1/services/drafter/write`,
+      {
+        headers: DESK_HEADERS,
+        body: "a summary",
+      },
+    );
     assert.equal(model.status, 200);
     assert.equal(model.weights, "drafter@1");
 
     assert.ok(
       await waitUntil(
         async () => await changeRate(system, "van-1", "350") === 0,
-        CHECK_MILLISECONDS,
+        TIMEOUT_MILLISECONDS,
       ),
     );
-    assert.equal(await system.rateAt("pgr-1", "desk"), 400);
+    assert.equal(await system.fetchContractRate("pgr-1", "desk"), 400);
     system.cluster.mesh.heal();
     const caughtUp = await waitUntil(
-      async () => await system.rateAt("pgr-1", "desk") === 350,
-      CHECK_MILLISECONDS,
+      async () => await system.fetchContractRate("pgr-1", "desk") === 350,
+      TIMEOUT_MILLISECONDS,
     );
-    assert.ok(caughtUp, "the cut-off side did not catch up");
-    assert.equal(await system.rateAt("van-1", "desk"), 350);
+    assert.ok(caughtUp, "the partitioned host did not catch up");
+    assert.equal(await system.fetchContractRate("van-1", "desk"), 350);
     assert.ok((await system.record()).every((body) => body !== "pay once"));
   });
 });
 
-test("a one-way cut and a flapping link lose no accepted change", async () => {
-  // Story: a data centre hears the others but can't reach them, then its
-  // link comes and goes. Each change whose command ended well must stand.
+test("a one-way partition and a flapping link lose no accepted change", async () => {
+  // Guards against the loss of accepted changes: a data centre can't open
+  // connections to the others, but they can to it; then its link fails and
+  // recovers repeatedly. Each change whose command succeeded must be kept.
   await withSystem({ withRelays: true }, async (system) => {
     const { mesh } = system.cluster;
     mesh.cutOutgoing("kel");
@@ -93,11 +106,12 @@
     }
     mesh.heal();
     for (const name of ["van-1", "kel-1", "pgr-1", "van-2"]) {
-      const same = await waitUntil(
-        async () => (await system.rateAt(name, "desk") ?? 0) >= accepted,
-        CHECK_MILLISECONDS,
+      const hasChange = await waitUntil(
+        async () =>
+          (await system.fetchContractRate(name, "desk") ?? 0) >= accepted,
+        TIMEOUT_MILLISECONDS,
       );
-      assert.ok(same, `${name} lacks an accepted change`);
+      assert.ok(hasChange, `${name} lacks an accepted change`);
     }
   });
 });
--- a/packages/experiments/src/failures/ask.ts
+++ b/packages/experiments/src/failures/send_request.ts
@@ -1,4 +1,4 @@
-type Answer = {
+type ParsedResponse = {
   status: number;
   outcome: string;
   retryAfter: string | null;
@@ -7,22 +7,31 @@
   json: Record<string, unknown>;
 };
 
-type Question = {
+type RequestOptions = {
   method?: string;
   headers?: Record<string, string>;
   body?: string;
-  milliseconds?: number;
+  timeoutMilliseconds?: number;
 };
 
-const MOST_MILLISECONDS = 10_000;
+const DEFAULT_TIMEOUT_MILLISECONDS = 10_000;
 
-/** One HTTP request with everything a test looks at in the answer. */
-export async function ask(url: string, question: Question): Promise<Answer> {
+/**
+ * Sends one HTTP request, by default a POST with a timeout of 10 s, and returns
+ * the parts of the response that tests check. `json` is empty if the body is
+ * not JSON.
+ */
+export async function sendRequest(
+  url: string,
+  options: RequestOptions,
+): Promise<ParsedResponse> {
   const answer = await fetch(url, {
-    method: question.method ?? "POST",
-    headers: question.headers,
-    body: question.body,
-    signal: AbortSignal.timeout(question.milliseconds ?? MOST_MILLISECONDS),
+    method: options.method ?? "POST",
+    headers: options.headers,
+    body: options.body,
+    signal: AbortSignal.timeout(
+      options.timeoutMilliseconds ?? DEFAULT_TIMEOUT_MILLISECONDS,
+    ),
   });
   const body = await answer.text();
   return {
--- a/packages/experiments/src/failures/spread_failures_test.ts
+++ b/packages/experiments/src/failures/spread_failures_test.ts
@@ -8,11 +8,11 @@
 
 const MEGABYTE = 1_048_576;
 const SEED = 6;
-const LIVE_MILLISECONDS = 40_000;
+const LIVE_TIMEOUT_MILLISECONDS = 40_000;
 const HALFWAY_MILLISECONDS = 1_500;
 
-/** Slow enough that a spread can be met in the middle: 4 s a host. */
-const SLOW = {
+/** Slow enough to cause a fault during a spread: 4 s per host. */
+const SLOW_SPREAD = {
   totalBytes: 8 * MEGABYTE,
   hostBytesPerSecond: 2 * MEGABYTE,
   originBytesPerSecond: 4 * MEGABYTE,
@@ -27,7 +27,7 @@
   ],
 };
 
-function allLive(
+function waitUntilAllLive(
   system: RunningSystem,
   version: string,
   entry: number,
@@ -36,14 +36,15 @@
     const status = await fetchStatus(system.cluster.publicUrl(entry));
     const row = status?.weights[0];
     return row?.version === version && row.live === 3;
-  }, LIVE_MILLISECONDS);
+  }, LIVE_TIMEOUT_MILLISECONDS);
 }
 
-test("an agent and a coordinator killed halfway: all come live, none wrong", async () => {
-  // Story: in the middle of a spread a fetching agent is killed and comes
-  // back with nothing, and the entry host that plans for its data centre is
-  // killed for good. Every replica still comes live, on whole weights.
-  await withSystem(SLOW, async (system) => {
+test("with an agent and a coordinator killed halfway, every replica goes live and no answer is wrong", async () => {
+  // Guards against a spread that never ends: halfway, a fetching agent is
+  // killed and restarts without weights, and the entry host that coordinates
+  // its data centre is killed for good. Every replica must still go live, on
+  // complete weights.
+  await withSystem(SLOW_SPREAD, async (system) => {
     const { cluster } = system;
     await system.spread("1", 3);
     const load = system.startLoad(MODEL_LOAD);
@@ -53,7 +54,10 @@
     await cluster.child("drafter-2").exited;
     cluster.start("drafter-2");
     cluster.child("van-2").signal("SIGKILL");
-    assert.ok(await allLive(system, "drafter@2", 0), "not all came live");
+    assert.ok(
+      await waitUntilAllLive(system, "drafter@2", 0),
+      "not every replica went live",
+    );
     const { drafter } = (await system.endLoad(load)).services;
     console.log(`seed ${SEED}: ${JSON.stringify(drafter)}`);
     assert.equal(drafter!.wrong, 0);
@@ -62,16 +66,17 @@
 });
 
 test("a newer version overtakes; the old one never goes live after it", async () => {
-  // Story: version 2 is half spread when version 3 is published. Version 2
-  // must not come live anywhere once 3 has, and callers only ever get whole
-  // answers of one version.
-  await withSystem(SLOW, async (system) => {
+  // Guards against a superseded version that goes live late: version 3 is
+  // published when version 2 is half spread. Version 2 must not go live
+  // anywhere once 3 has, and callers must only get complete answers of one
+  // version.
+  await withSystem(SLOW_SPREAD, async (system) => {
     await system.spread("1", 3);
     const load = system.startLoad(MODEL_LOAD);
     await system.publish("2");
     await pause(HALFWAY_MILLISECONDS);
     await system.publish("3");
-    assert.ok(await allLive(system, "drafter@3", 0));
+    assert.ok(await waitUntilAllLive(system, "drafter@3", 0));
     const events = await system.client(["timeline", "--since", "60", "--json"]);
     const live =
       (JSON.parse(events).events as { kind: string; detail: string }[])
@@ -84,18 +89,19 @@
   });
 });
 
-test("a data centre cut off halfway comes live after healing", async () => {
-  // Story: in the middle of a spread one data centre is cut off without a
-  // word. It goes on answering from the old version; after healing it
-  // learns the target and comes live on the new one.
-  await withSystem({ ...SLOW, withRelays: true }, async (system) => {
+test("a data centre partitioned halfway goes live once the partition heals", async () => {
+  // Guards against a replica that stays on an old version: halfway through a
+  // spread, all packets to and from one data centre are dropped without notice.
+  // It keeps answering from the old version. Once the partition heals, it
+  // learns the target and must go live on the new version.
+  await withSystem({ ...SLOW_SPREAD, withRelays: true }, async (system) => {
     await system.spread("1", 3);
     await system.publish("2");
     await pause(HALFWAY_MILLISECONDS);
     system.cluster.mesh.cutOff("pgr", "silent");
     await pause(HALFWAY_MILLISECONDS * 2);
     system.cluster.mesh.heal();
-    assert.ok(await allLive(system, "drafter@2", 0));
-    assert.ok(await allLive(system, "drafter@2", 2));
+    assert.ok(await waitUntilAllLive(system, "drafter@2", 0));
+    assert.ok(await waitUntilAllLive(system, "drafter@2", 2));
   });
 });
--- a/packages/experiments/src/failures/waiting_calls_test.ts
+++ b/packages/experiments/src/failures/waiting_calls_test.ts
@@ -10,12 +10,12 @@
 import { freeAddresses } from "../harness/free_addresses.ts";
 import { waitUntil } from "../harness/wait_until.ts";
 
-const CHECK_MILLISECONDS = 10_000;
+const TIMEOUT_MILLISECONDS = 10_000;
 const CALL_MILLISECONDS = 60;
 
-/** A service with one slot, and the runner in front of it. */
-async function withOneSlot(
-  story: (runner: CallRunner, service: FakeService) => Promise<void>,
+/** Runs a test on a service with one slot and the call runner before it. */
+async function withSingleSlotService(
+  scenario: (runner: CallRunner, service: FakeService) => Promise<void>,
 ): Promise<void> {
   const [address, agentAddress] = await freeAddresses(2);
   const service = new FakeService({
@@ -35,21 +35,25 @@
     repeatable: true,
     uses_weights: false,
     slots: 1,
-  }, Date.now() + CHECK_MILLISECONDS);
+  }, Date.now() + TIMEOUT_MILLISECONDS);
   const runner = new CallRunner({
     state,
     engine: new EngineClient(() => undefined),
     incarnation: "one",
   });
   try {
-    await story(runner, service);
+    await scenario(runner, service);
   } finally {
     runner.stop();
     service.stop();
   }
 }
 
-function call(body: string, priority: number, deadlineMilliseconds = 60_000) {
+function createRunRequest(
+  body: string,
+  priority: number,
+  deadlineMilliseconds = 60_000,
+) {
   return create(RunRequestSchema, {
     requestId: body,
     path: "/look",
@@ -59,48 +63,48 @@
   });
 }
 
-test("where calls wait, larger priorities go first, equal ones in order", async () => {
-  await withOneSlot(async (runner, service) => {
+test("waiting calls run by descending priority, equal ones in order of arrival", async () => {
+  await withSingleSlotService(async (runner, service) => {
     for (
       const [body, priority] of [["a", 5], ["b", 1], ["c", 9], ["d", 5], [
         "e",
         9,
       ]] as const
     ) {
-      runner.run(call(body, priority));
+      runner.run(createRunRequest(body, priority));
     }
-    const done = () => service.ran.length === 5;
-    assert.ok(await waitUntil(done, CHECK_MILLISECONDS));
-    assert.deepEqual(service.ran, ["a", "c", "e", "d", "b"]);
+    const done = () => service.executedBodies.length === 5;
+    assert.ok(await waitUntil(done, TIMEOUT_MILLISECONDS));
+    assert.deepEqual(service.executedBodies, ["a", "c", "e", "d", "b"]);
   });
 });
 
-test("a call that would wait past its use is refused at once", async () => {
-  // Story: a burst comes to a busy backend server. Calls that can't be in
-  // time must not take slots from those that can; they hear so at once, with
-  // when to come back, and the service never sees them.
-  await withOneSlot(async (runner, service) => {
+test("a call that would wait past its deadline is refused at once", async () => {
+  // Guards against slots wasted in a burst on calls that can't meet their
+  // deadline. Such calls are refused at once with a time to retry after, and
+  // never reach the service.
+  await withSingleSlotService(async (runner, service) => {
     for (let count = 0; count < 10; count += 1) {
-      runner.run(call(`patient ${count}`, 5));
+      runner.run(createRunRequest(`patient ${count}`, 5));
     }
-    const exchange = runner.run(call("hurried", 5, 100));
-    assert.ok(exchange.endedAt > 0, "it was kept waiting");
+    const exchange = runner.run(createRunRequest("hurried", 5, 100));
+    assert.ok(exchange.endedAt > 0, "the call was queued");
     for await (const { body } of exchange.read(0)) {
       assert.equal(body.case, "refused");
       if (body.case !== "refused") continue;
       assert.equal(body.value.reason, "overloaded");
       assert.ok(body.value.retryAfterMilliseconds > 0);
     }
-    assert.ok(!service.ran.includes("hurried"));
+    assert.ok(!service.executedBodies.includes("hurried"));
   });
 });
 
-// Guards against an agent that sends its backend server more than this one
-// says that it takes.
-test("a limit that a backend server names holds at its agent, and ends", async () => {
-  await withOneSlot(async (runner, service) => {
+// Guards against an agent that sends its backend server more requests per
+// second than the limit that the server announces with its answers.
+test("an agent keeps the limit that its backend server announces until it is lifted", async () => {
+  await withSingleSlotService(async (runner, service) => {
     const ask = async (id: string) => {
-      const exchange = runner.run(call(id, 5));
+      const exchange = runner.run(createRunRequest(id, 5));
       for await (const { body } of exchange.read(0)) {
         if (body.case === "refused") return body.value.reason;
         if (body.case === "end") return "answered";
@@ -120,7 +124,7 @@
     assert.ok(
       await waitUntil(
         async () => await ask(`end-${Math.random()}`) === "answered",
-        CHECK_MILLISECONDS,
+        TIMEOUT_MILLISECONDS,
       ),
     );
     assert.equal(await ask("behind"), "answered");
--- a/packages/experiments/src/failures/with_bench.ts
+++ b/packages/experiments/src/failures/with_bench.ts
@@ -1,16 +1,16 @@
 import { freeAddresses } from "../harness/free_addresses.ts";
-import { AgentBench } from "./agent_bench.ts";
+import { AgentFixture } from "./agent_fixture.ts";
 
-/** Runs a story on one agent's parts with a fake engine. */
-export async function withBench(
+/** Runs a test on the parts of one agent with a fake engine. */
+export async function withAgentFixture(
   checksFencing: boolean,
-  story: (bench: AgentBench) => Promise<void>,
+  scenario: (fixture: AgentFixture) => Promise<void>,
 ): Promise<void> {
-  const bench = new AgentBench(await freeAddresses(2), checksFencing);
-  await bench.start();
+  const fixture = new AgentFixture(await freeAddresses(2), checksFencing);
+  await fixture.start();
   try {
-    await story(bench);
+    await scenario(fixture);
   } finally {
-    await bench.stop();
+    await fixture.stop();
   }
 }
--- a/packages/experiments/src/failures/with_system.ts
+++ b/packages/experiments/src/failures/with_system.ts
@@ -10,7 +10,7 @@
   originBytesPerSecond: number;
 };
 
-const FAST: Options = {
+const DEFAULT_OPTIONS: Options = {
   withRelays: false,
   totalBytes: 2 * MEGABYTE,
   hostBytesPerSecond: 0,
@@ -18,42 +18,43 @@
 };
 
 /**
- * Runs a failure's story on a whole system: 4 entry hosts in 3 data centres,
- * 3 engines, 3 servers whose calls may not be repeated, 1 plain one. A
- * contract stands for workspace "desk".
+ * Runs a test on a whole system: 4 entry hosts in 3 data centres, 3 engines, 3
+ * servers with unrepeatable calls, and 1 with repeatable calls. Workspace
+ * "desk" has a contract. The system's folder with its logs is kept if the test
+ * fails.
  */
 export async function withSystem(
   options: Partial<Options>,
-  story: (system: RunningSystem) => Promise<void>,
+  scenario: (system: RunningSystem) => Promise<void>,
 ): Promise<void> {
-  const all = { ...FAST, ...options };
+  const resolved = { ...DEFAULT_OPTIONS, ...options };
   const centres = ["van", "kel", "pgr"];
   const system = new RunningSystem({
     topology: {
-      ...smallTopology(all.hostBytesPerSecond),
+      ...smallTopology(resolved.hostBytesPerSecond),
       services: [
         { service: "drafter", kind: "engine", dataCentres: centres },
         { service: "ledger", kind: "unrepeatable", dataCentres: centres },
         { service: "portal", kind: "repeatable", dataCentres: ["van"] },
       ],
-      withRelays: all.withRelays,
+      withRelays: resolved.withRelays,
     },
     model: "drafter",
-    totalBytes: all.totalBytes,
+    totalBytes: resolved.totalBytes,
     chunkBytes: MEGABYTE / 8,
     commonChunks: 0,
-    originBytesPerSecond: all.originBytesPerSecond,
+    originBytesPerSecond: resolved.originBytesPerSecond,
   });
-  let keepsLogs = true;
+  let keepLogs = true;
   try {
     await system.start();
     await system.client([
       ...["contract", "create", "desk", "--rate", "400", "--burst", "200"],
       ...["--services", "drafter,ledger,portal"],
     ]);
-    await story(system);
-    keepsLogs = false;
+    await scenario(system);
+    keepLogs = false;
   } finally {
-    await system.destroy({ keepsLogs });
+    await system.destroy({ keepLogs });
   }
 }
--- a/packages/experiments/src/fakes/announcer.ts
+++ b/packages/experiments/src/fakes/announcer.ts
@@ -1,5 +1,5 @@
-const EVERY_MILLISECONDS = 1_000;
-const CALL_MILLISECONDS = 900;
+const ANNOUNCE_INTERVAL_MILLISECONDS = 1_000;
+const ANNOUNCE_TIMEOUT_MILLISECONDS = 900;
 
 type Announcement = {
   service: string;
@@ -10,7 +10,7 @@
   slots: number;
 };
 
-/** Announces a fake backend server to its agent, over and over. */
+/** Announces a fake backend server to its agent every second. */
 export class Announcer {
   #timer: NodeJS.Timeout;
 
@@ -19,11 +19,11 @@
       fetch(`http://${agentAddress}/v1/announce`, {
         method: "POST",
         body: JSON.stringify(announcement),
-        signal: AbortSignal.timeout(CALL_MILLISECONDS),
-      }).then((answer) => answer.text()).catch(() => undefined);
+        signal: AbortSignal.timeout(ANNOUNCE_TIMEOUT_MILLISECONDS),
+      }).then((response) => response.text()).catch(() => undefined);
     };
     announce();
-    this.#timer = setInterval(announce, EVERY_MILLISECONDS);
+    this.#timer = setInterval(announce, ANNOUNCE_INTERVAL_MILLISECONDS);
   }
 
   stop(): void {
--- a/packages/experiments/src/fakes/ending_service.ts
+++ b/packages/experiments/src/fakes/crashing_service.ts
@@ -3,27 +3,30 @@
 import { createServer } from "node:http";
 import { readAll } from "./read_all.ts";
 
-const RUN_MILLISECONDS = 10;
-const DOWN_MILLISECONDS = 150;
+const CALL_DURATION_MILLISECONDS = 10;
+const RESTART_DELAY_MILLISECONDS = 150;
 
-/** A plain service that ends under one body, and is back a little later. */
-export class EndingService {
-  /** Times that it has ended. */
-  ends = 0;
+/**
+ * A service without weights that simulates a crash on one request body: it
+ * closes its port and all connections, and listens again 150 ms later.
+ */
+export class CrashingService {
+  /** Number of simulated crashes so far. */
+  crashCount = 0;
   #address: string;
-  #endsOn: string;
+  #crashBody: string;
   #isStopped = false;
   #server = createServer(async (request, response) => {
     const body = (await readAll(request)).toString("utf8");
-    await pause(RUN_MILLISECONDS);
-    if (body === this.#endsOn) return this.#end();
+    await pause(CALL_DURATION_MILLISECONDS);
+    if (body === this.#crashBody) return this.#crash();
     response.setHeader("Content-Type", "text/plain");
     response.end("done\n");
   });
 
-  constructor(options: { address: string; endsOn: string }) {
+  constructor(options: { address: string; crashBody: string }) {
     this.#address = options.address;
-    this.#endsOn = options.endsOn;
+    this.#crashBody = options.crashBody;
   }
 
   async start(): Promise<void> {
@@ -37,12 +40,12 @@
     this.#server.closeAllConnections();
   }
 
-  async #end(): Promise<void> {
+  async #crash(): Promise<void> {
     if (!this.#server.listening) return;
-    this.ends += 1;
+    this.crashCount += 1;
     this.#server.close();
     this.#server.closeAllConnections();
-    await pause(DOWN_MILLISECONDS);
+    await pause(RESTART_DELAY_MILLISECONDS);
     if (!this.#isStopped) await this.start();
   }
 }
--- a/packages/experiments/src/fakes/expected_answer.ts
+++ b/packages/experiments/src/fakes/expected_answer.ts
@@ -1,17 +1,18 @@
-import { digestOf } from "./digest_of.ts";
+import { sha256Hex } from "./sha256_hex.ts";
 
-const LINES = 12;
+const LINE_COUNT = 12;
 
 /**
- * What the fake engine says: each line marked by the digest of the weights
- * that it really holds, so a mixed or partial model shows in every answer.
+ * Returns the lines of the answer that a fake engine with these weights gives
+ * to a body. Each line starts with 16 digits of the digest of the weights that
+ * the engine holds, so that mixed or partial weights show in every answer.
  */
 export function expectedAnswer(weightsDigest: string, body: string): string[] {
   return Array.from(
-    { length: LINES },
+    { length: LINE_COUNT },
     (_, line) =>
       `${weightsDigest.slice(0, 16)} ${
-        digestOf([weightsDigest, body, String(line)])
+        sha256Hex([weightsDigest, body, String(line)])
       }\n`,
   );
 }
--- a/packages/experiments/src/fakes/fake_engine.ts
+++ b/packages/experiments/src/fakes/fake_engine.ts
@@ -17,26 +17,26 @@
   service: string;
   checksFencing: boolean;
   slots: number;
-  /** Between the lines of an answer. */
-  lineMilliseconds: number;
+  /** Pause after each line of an answer. */
+  lineIntervalMilliseconds: number;
 };
 
 type LoadOrder = { version: string; source: string; fencing_token: number };
 
 /**
- * A model engine that speaks for the weights it really holds: while a load
- * is under way, its answers are marked with the digest of the part it has.
+ * A fake model engine whose answers contain the digest of the weights that it
+ * holds. During a load this is the digest of the part received so far.
  */
 export class FakeEngine {
-  /** Says "loaded" before it is. */
-  liesAboutLoading = false;
-  /** Begins answers and never ends them. */
+  /** Reports a load as done, with the new version, before it is. */
+  reportsLoadedEarly = false;
+  /** Sends the first line of each answer and never ends the answer. */
   stallsAnswers = false;
-  /** The next load stops with an error. */
+  /** Makes the next load fail. */
   failsNextLoad = false;
-  /** Calls that it has begun, and those whose caller left meanwhile. */
-  calls = 0;
-  abandoned = 0;
+  startedCalls = 0;
+  /** Calls whose connection was closed before the answer's end. */
+  abandonedCalls = 0;
   #options: Options;
   #announcer: Announcer | undefined;
   #version = "";
@@ -79,7 +79,7 @@
       case "/v1/state":
         return this.#sendState(response);
       case "/v1/load":
-        return this.#takeOrder(JSON.parse(body), response);
+        return this.#handleLoadOrder(JSON.parse(body), response);
       case "/v1/probe":
         response.setHeader(
           "Engine-Version",
@@ -87,19 +87,19 @@
         );
         return void response.end();
       default:
-        return await this.#answer(body, response);
+        return await this.#handleCall(body, response);
     }
   }
 
   #sendState(response: ServerResponse): void {
     response.end(JSON.stringify({
       version: this.#version,
-      loading: this.#loading && !this.liesAboutLoading,
+      loading: this.#loading && !this.reportsLoadedEarly,
       fencing_token: this.#fencingToken,
     }));
   }
 
-  #takeOrder(order: LoadOrder, response: ServerResponse): void {
+  #handleLoadOrder(order: LoadOrder, response: ServerResponse): void {
     const { checksFencing } = this.#options;
     if (checksFencing && order.fencing_token < this.#fencingToken) {
       return void response.writeHead(409).end();
@@ -111,14 +111,14 @@
 
   async #load(order: LoadOrder): Promise<void> {
     this.#loading = true;
-    this.#version = this.liesAboutLoading ? order.version : "";
+    this.#version = this.reportsLoadedEarly ? order.version : "";
     const hash = createHash("sha256");
     if (this.failsNextLoad) {
       this.failsNextLoad = false;
       this.#loading = false;
       return;
     }
-    const whole = await new Promise<boolean>((resolve) => {
+    const isComplete = await new Promise<boolean>((resolve) => {
       const request = get(order.source, async (answer) => {
         try {
           for await (const part of answer) {
@@ -133,26 +133,28 @@
       request.on("error", () => resolve(false));
     });
     this.#digest = hash.digest("hex");
-    this.#version = whole ? order.version : "";
+    this.#version = isComplete ? order.version : "";
     this.#loading = false;
   }
 
-  async #answer(body: string, response: ServerResponse): Promise<void> {
-    this.calls += 1;
+  async #handleCall(body: string, response: ServerResponse): Promise<void> {
+    this.startedCalls += 1;
     response.setHeader("Engine-Version", this.#version);
     response.setHeader("Content-Type", "text/plain");
-    const before = this.#digest;
-    const lines = expectedAnswer(before, body);
+    const initialDigest = this.#digest;
+    const lines = expectedAnswer(initialDigest, body);
     if (this.stallsAnswers) return void response.write(lines[0]);
     for (const [index, line] of lines.entries()) {
       if (response.destroyed) {
-        this.abandoned += 1;
+        this.abandonedCalls += 1;
         return;
       }
-      // A model that changes under an answer shows in the rest of it.
-      const same = this.#digest === before;
-      response.write(same ? line : expectedAnswer(this.#digest, body)[index]);
-      await pause(this.#options.lineMilliseconds);
+      // Weights that change during an answer change the rest of its lines.
+      const isUnchanged = this.#digest === initialDigest;
+      response.write(
+        isUnchanged ? line : expectedAnswer(this.#digest, body)[index],
+      );
+      await pause(this.#options.lineIntervalMilliseconds);
     }
     response.end();
   }
--- a/packages/experiments/src/fakes/fake_service.ts
+++ b/packages/experiments/src/fakes/fake_service.ts
@@ -2,7 +2,7 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
 import { createServer } from "node:http";
 import { Announcer } from "./announcer.ts";
-import { digestOf } from "./digest_of.ts";
+import { sha256Hex } from "./sha256_hex.ts";
 import { readAll } from "./read_all.ts";
 
 type Options = {
@@ -14,19 +14,19 @@
   callMilliseconds: number;
 };
 
-/** A plain service that keeps a record of every body it ran. */
+/** A fake service without weights that records the body of every call. */
 export class FakeService {
-  readonly ran: string[] = [];
-  /** Requests a second that it names with its answers; undefined for none. */
+  readonly executedBodies: string[] = [];
+  /** Requests per second announced with each answer; undefined for no limit. */
   limitPerSecond: number | undefined;
   #options: Options;
   #announcer: Announcer | undefined;
   #server = createServer(async (request, response) => {
     const body = (await readAll(request)).toString("utf8");
     if (request.url === "/record") {
-      return void response.end(JSON.stringify(this.ran));
+      return void response.end(JSON.stringify(this.executedBodies));
     }
-    this.ran.push(body);
+    this.executedBodies.push(body);
     await pause(this.#options.callMilliseconds);
     response.setHeader("Content-Type", "text/plain");
     if (this.limitPerSecond !== undefined) {
@@ -40,7 +40,7 @@
   }
 
   static answerTo(body: string): string {
-    return `done ${digestOf([body])}\n`;
+    return `done ${sha256Hex([body])}\n`;
   }
 
   async start(): Promise<void> {
--- a/packages/experiments/src/fakes/fakes_plan.ts
+++ b/packages/experiments/src/fakes/fakes_plan.ts
@@ -1,4 +1,4 @@
-/** What the process of fakes is told, as JSON in a file. */
+/** Arguments of run_fakes.ts, which reads them from a JSON file. */
 export type FakesPlan = {
   backendServers: {
     service: string;
--- a/packages/experiments/src/fakes/run_fakes.ts
+++ b/packages/experiments/src/fakes/run_fakes.ts
@@ -16,7 +16,7 @@
     ? new FakeEngine({
       ...common,
       checksFencing: server.checksFencing,
-      lineMilliseconds: LINE_MILLISECONDS,
+      lineIntervalMilliseconds: LINE_MILLISECONDS,
     })
     : new FakeService({
       ...common,
--- a/packages/experiments/src/fakes/seeded_bytes.ts
+++ b/packages/experiments/src/fakes/seeded_bytes.ts
@@ -3,7 +3,7 @@
 
 const WORD_BYTES = 4;
 
-/** The same random bytes for the same seed. */
+/** Returns pseudorandom bytes that depend only on the seed and the length. */
 export function seededBytes(seed: number, length: number): Buffer {
   const words = new Int32Array(Math.ceil(length / WORD_BYTES));
   const generator = xoroshiro128plus(seed);
--- a/packages/experiments/src/fakes/store_plan.ts
+++ b/packages/experiments/src/fakes/store_plan.ts
@@ -1,4 +1,4 @@
-/** What the weight store process is told, as JSON in a file. */
+/** Arguments of run_store.ts, which reads them from a JSON file. */
 export type StorePlan = {
   address: string;
   bytesPerSecond: number;
--- a/packages/experiments/src/fakes/weight_store.ts
+++ b/packages/experiments/src/fakes/weight_store.ts
@@ -2,8 +2,8 @@
 import { listen } from "@teaselrouter/daemon/transport/listen.ts";
 import { Buffer } from "node:buffer";
 import { createServer, type ServerResponse } from "node:http";
-import { digestOf } from "./digest_of.ts";
-import { weightsOf } from "./weights_of.ts";
+import { sha256Hex } from "./sha256_hex.ts";
+import { generateWeights } from "./generate_weights.ts";
 
 const SLICE_BYTES = 65_536;
 const RANGE = /^bytes=(\d+)-(\d+)$/;
@@ -17,11 +17,15 @@
   commonChunks: number;
 };
 
-/** A rate-limited weight store: manifests, and weights by range. */
+/**
+ * A rate-limited HTTP weight store. Serves the manifests of one model and its
+ * weights, one whole chunk per range request. GET /sent returns the number of
+ * bytes of weights sent.
+ */
 export class WeightStore {
   bytesSent = 0;
-  /** Answers ranges with one bit turned, as a damaged disk would. */
-  corrupt = false;
+  /** Flips one bit in each chunk that is sent, as a damaged disk would. */
+  isCorrupt = false;
   #options: Options;
   #pacer: LinkPacer;
   #versions = new Map<string, Buffer[]>();
@@ -75,7 +79,7 @@
       version,
       total_bytes: totalBytes,
       chunk_bytes: chunkBytes,
-      chunks: this.#chunks(version).map((chunk) => digestOf([chunk])),
+      chunks: this.#chunks(version).map((chunk) => sha256Hex([chunk])),
     }));
   }
 
@@ -89,8 +93,8 @@
     if (chunk === undefined || chunk.length !== range.length) {
       return void response.writeHead(416).end();
     }
-    const bytes = this.corrupt ? Buffer.from(chunk) : chunk;
-    if (this.corrupt) bytes[0] = bytes[0]! ^ 1;
+    const bytes = this.isCorrupt ? Buffer.from(chunk) : chunk;
+    if (this.isCorrupt) bytes[0] = bytes[0]! ^ 1;
     response.writeHead(206, { "Content-Length": bytes.length });
     for (let at = 0; at < bytes.length; at += SLICE_BYTES) {
       const slice = bytes.subarray(at, at + SLICE_BYTES);
@@ -105,7 +109,7 @@
   #chunks(version: string): Buffer[] {
     let chunks = this.#versions.get(version);
     if (chunks === undefined) {
-      chunks = weightsOf({ ...this.#options, version });
+      chunks = generateWeights({ ...this.#options, version });
       this.#versions.set(version, chunks);
     }
     return chunks;
--- a/packages/experiments/src/harness/child.ts
+++ b/packages/experiments/src/harness/child.ts
@@ -2,10 +2,15 @@
 import { createWriteStream } from "node:fs";
 import process from "node:process";
 
-/** A process that an experiment started, and alone may end. */
+/**
+ * A child process of an experiment, which alone may end it. Its output is also
+ * appended to a log file.
+ */
 export class Child {
   readonly name: string;
+  /** Resolves to the exit code, or to null if a signal ended the process. */
   readonly exited: Promise<number | null>;
+  /** Everything the process has written to stdout so far. */
   output = "";
   #process: ChildProcess;
 
--- a/packages/experiments/src/harness/cluster.ts
+++ b/packages/experiments/src/harness/cluster.ts
@@ -34,24 +34,24 @@
   entryHosts: EntryHost[] = [];
   backendServers: BackendServer[] = [];
   #children = new Map<string, Child>();
-  #files = new Map<string, string>();
+  #settingsPaths = new Map<string, string>();
 
   constructor(topology: Topology) {
     this.topology = topology;
   }
 
-  /** Gives out addresses and writes every process's settings. */
+  /** Assigns addresses to all processes and writes their settings files. */
   async prepare(): Promise<void> {
     const { entryHosts, services } = this.topology;
     const replicas = services.flatMap((plan) => plan.dataCentres);
     const addresses = await freeAddresses(
       entryHosts.length * 2 + replicas.length * 3,
     );
-    const next = () => addresses.pop()!;
+    const takeAddress = () => addresses.pop()!;
     this.entryHosts = entryHosts.map((host) => ({
       ...host,
-      internal: next(),
-      public: next(),
+      internal: takeAddress(),
+      public: takeAddress(),
     }));
     this.backendServers = services.flatMap((plan) =>
       plan.dataCentres.map((dataCentre, index) => ({
@@ -59,27 +59,27 @@
         service: plan.service,
         kind: plan.kind,
         dataCentre,
-        internal: next(),
-        agentAddress: next(),
-        address: next(),
+        internal: takeAddress(),
+        agentAddress: takeAddress(),
+        address: takeAddress(),
       }))
     );
     if (this.topology.withRelays) {
       await this.mesh.start([...this.entryHosts, ...this.backendServers]);
     }
-    for (const host of this.entryHosts) this.#writeEntry(host);
-    for (const server of this.backendServers) this.#writeAgent(server);
+    for (const host of this.entryHosts) this.#writeEntrySettings(host);
+    for (const server of this.backendServers) this.#writeAgentSettings(server);
   }
 
   startAll(): void {
-    for (const name of this.#files.keys()) this.start(name);
+    for (const name of this.#settingsPaths.keys()) this.start(name);
   }
 
   start(name: string): Child {
     const child = new Child({
       name,
       script: DAEMON,
-      args: ["--settings", this.#files.get(name)!],
+      args: ["--settings", this.#settingsPaths.get(name)!],
       log: join(this.folder, `${name}.log`),
     });
     this.#children.set(name, child);
@@ -98,32 +98,38 @@
     return `http://${this.entryHosts[index % this.entryHosts.length]!.public}`;
   }
 
-  /** Where a control host keeps its state. */
+  /** Path of the folder in which a control host keeps its state. */
   dataFolder(name: string): string {
     return join(this.folder, `${name}.data`);
   }
 
-  /** Stops every process as an operator would; gives back bad exits. */
+  /**
+   * Stops every process with SIGTERM, as an operator would. Returns a line for
+   * each process that did not exit with 0.
+   */
   async stopAll(): Promise<string[]> {
-    const bad: string[] = [];
+    const badExits: string[] = [];
     await Promise.all(this.children.map(async (child) => {
       child.signal("SIGTERM");
       const code = await child.exited;
-      if (code !== 0) bad.push(`${child.name} ended with ${code}`);
+      if (code !== 0) badExits.push(`${child.name} ended with ${code}`);
     }));
-    return bad;
+    return badExits;
   }
 
-  /** Ends what still runs, and drops the folder unless its logs are kept. */
-  async destroy({ keepsLogs = false } = {}): Promise<void> {
+  /**
+   * Kills all processes that still run, and deletes the cluster's folder unless
+   * its logs are to be kept.
+   */
+  async destroy({ keepLogs = false } = {}): Promise<void> {
     for (const child of this.children) child.signal("SIGKILL");
     await Promise.all(this.children.map((child) => child.exited));
     this.mesh.stop();
-    if (keepsLogs) return console.error(`logs are kept in ${this.folder}`);
+    if (keepLogs) return console.error(`logs are kept in ${this.folder}`);
     rmSync(this.folder, { recursive: true, force: true });
   }
 
-  #writeEntry(host: EntryHost): void {
+  #writeEntrySettings(host: EntryHost): void {
     const voters = this.entryHosts.filter((other) => other.control);
     const control = host.control
       ? {
@@ -136,13 +142,13 @@
         },
       }
       : {};
-    this.#write(host.name, {
+    this.#writeSettings(host.name, {
       name: host.name,
       data_centre: host.dataCentre,
       roles: host.control ? ["control", "entry"] : ["entry"],
       internal: {
         listen: host.internal,
-        dial: this.mesh.dialFor(host.name),
+        dial: this.mesh.dialOverridesFor(host.name),
       },
       log: { level: this.topology.logLevel },
       ...control,
@@ -156,14 +162,14 @@
     });
   }
 
-  #writeAgent(server: BackendServer): void {
-    this.#write(server.name, {
+  #writeAgentSettings(server: BackendServer): void {
+    this.#writeSettings(server.name, {
       name: server.name,
       data_centre: server.dataCentre,
       roles: ["agent"],
       internal: {
         listen: server.internal,
-        dial: this.mesh.dialFor(server.name),
+        dial: this.mesh.dialOverridesFor(server.name),
       },
       log: { level: this.topology.logLevel },
       agent: {
@@ -176,8 +182,8 @@
     });
   }
 
-  #write(name: string, settings: object): void {
+  #writeSettings(name: string, settings: object): void {
     const path = join(this.folder, `${name}.toml`);
-    this.#files.set(name, writeSettings(path, settings));
+    this.#settingsPaths.set(name, writeSettings(path, settings));
   }
 }
--- a/packages/experiments/src/harness/fetch_status.ts
+++ b/packages/experiments/src/harness/fetch_status.ts
@@ -1,16 +1,19 @@
 import type { SystemStatus } from "@teaselrouter/operator/commands/system_status.ts";
 
-const CALL_MILLISECONDS = 2_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 2_000;
 
-/** An entry host's status, or undefined when it does not answer. */
+/**
+ * Fetches an entry host's status. Returns undefined if there is no valid answer
+ * within 2 s.
+ */
 export async function fetchStatus(
   entry: string,
 ): Promise<SystemStatus | undefined> {
   try {
-    const answer = await fetch(`${entry}/v1/operator/status`, {
-      signal: AbortSignal.timeout(CALL_MILLISECONDS),
+    const response = await fetch(`${entry}/v1/operator/status`, {
+      signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
     });
-    return await answer.json() as SystemStatus;
+    return await response.json() as SystemStatus;
   } catch {
     return undefined;
   }
--- a/packages/experiments/src/harness/free_addresses.ts
+++ b/packages/experiments/src/harness/free_addresses.ts
@@ -2,32 +2,38 @@
 import process from "node:process";
 
 /**
- * This process's own loopback address. On the common one, a port that the
- * system gave out can be taken, before the daemon listens on it, by any
- * connection that another test opens; those never come from this address.
+ * Returns a loopback address derived from the process id. On 127.0.0.1, a
+ * connection that another test opens could take a free port as its source port
+ * before the daemon listens on it. No such connection uses this address.
  */
-function ownHost(): string {
+function processLoopbackHost(): string {
   const { pid } = process;
   return `127.${64 + (pid >> 16) % 64}.${(pid >> 8) % 256}.${1 + pid % 254}`;
 }
 
-/** Given out before: the system may give a port again once it is free. */
-const given = new Set<string>();
+/**
+ * Addresses returned so far. The system may assign a port again once it is
+ * free, before the daemon listens on it.
+ */
+const returnedAddresses = new Set<string>();
 
-/** Loopback addresses whose ports the system just gave out, each once. */
+/**
+ * Returns distinct loopback addresses with ports that the system has just
+ * assigned and that are free. No call returns an address of a previous one.
+ */
 export async function freeAddresses(count: number): Promise<string[]> {
-  const fresh: string[] = [];
-  while (fresh.length < count) {
-    for (const address of await askForAddresses(count - fresh.length)) {
-      if (!given.has(address)) fresh.push(address);
-      given.add(address);
+  const addresses: string[] = [];
+  while (addresses.length < count) {
+    for (const address of await allocateAddresses(count - addresses.length)) {
+      if (!returnedAddresses.has(address)) addresses.push(address);
+      returnedAddresses.add(address);
     }
   }
-  return fresh;
+  return addresses;
 }
 
-async function askForAddresses(count: number): Promise<string[]> {
-  const host = ownHost();
+async function allocateAddresses(count: number): Promise<string[]> {
+  const host = processLoopbackHost();
   const servers = Array.from({ length: count }, () => createServer());
   const addresses = await Promise.all(
     servers.map((server) =>
--- a/packages/experiments/src/harness/read_usage.ts
+++ b/packages/experiments/src/harness/read_usage.ts
@@ -6,18 +6,18 @@
 type Usage = {
   cpuSeconds: number;
   residentBytes: number;
-  /** Read and written, sockets and files together. */
+  /** Bytes read and written, by sockets and files together. */
   bytes: number;
-  /** Reads and writes: about one for each message or batch of them. */
+  /** Read and write system calls: about one per message or batch. */
   calls: number;
 };
 
-function field(text: string, name: string): number {
-  const line = text.split("\n").find((one) => one.startsWith(`${name}:`));
+function readField(text: string, name: string): number {
+  const line = text.split("\n").find((row) => row.startsWith(`${name}:`));
   return Number(line?.split(/\s+/)[1] ?? 0);
 }
 
-/** What a process has used so far, from /proc. */
+/** Reads a process's resource usage since its start from /proc. */
 export function readUsage(pid: number): Usage {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
@@ -26,7 +26,7 @@
   return {
     cpuSeconds: ticks / TICKS_PER_SECOND,
     residentBytes: Number(fields[21]) * PAGE_BYTES,
-    bytes: field(io, "rchar") + field(io, "wchar"),
-    calls: field(io, "syscr") + field(io, "syscw"),
+    bytes: readField(io, "rchar") + readField(io, "wchar"),
+    calls: readField(io, "syscr") + readField(io, "syscw"),
   };
 }
--- a/packages/experiments/src/harness/relay.ts
+++ b/packages/experiments/src/harness/relay.ts
@@ -2,18 +2,23 @@
 
 type Mode = "open" | "cut" | "silent";
 
-/** A link that can be cut, or go silent for good on its old connections. */
+/**
+ * A TCP relay that simulates network faults: it can break its connections, or
+ * stop forwarding on them without closing them.
+ */
 export class Relay {
   readonly address: string;
-  #to: string;
+  #target: string;
   #mode: Mode = "open";
   #server: Server;
-  #pairs = new Set<{ near: Socket; far: Socket; silent: boolean }>();
+  #connections = new Set<
+    { client: Socket; upstream: Socket; isSilent: boolean }
+  >();
 
-  constructor(address: string, to: string) {
+  constructor(address: string, target: string) {
     this.address = address;
-    this.#to = to;
-    this.#server = createServer((near) => this.#accept(near));
+    this.#target = target;
+    this.#server = createServer((client) => this.#accept(client));
   }
 
   start(): Promise<void> {
@@ -28,58 +33,65 @@
     this.#closeAll();
   }
 
-  /** Nothing passes, and connections break. */
+  /** Closes all connections, and new ones as soon as they are accepted. */
   cut(): void {
     this.#mode = "cut";
     this.#closeAll();
   }
 
-  /** Nothing passes, and nobody is told: as when packets are dropped. */
+  /**
+   * Stops forwarding on open and new connections without closing them, as when
+   * packets are dropped.
+   */
   silence(): void {
     this.#mode = "silent";
-    this.silenceOld();
+    this.silenceOpenConnections();
   }
 
-  /** Open connections pass nothing for good; new ones work. */
-  silenceOld(): void {
-    for (const pair of this.#pairs) pair.silent = true;
+  /** Stops forwarding on open connections for good; new ones work. */
+  silenceOpenConnections(): void {
+    for (const connection of this.#connections) connection.isSilent = true;
   }
 
+  /**
+   * Forwards again. Connections that were silent are closed, as their data is
+   * lost.
+   */
   heal(): void {
     this.#mode = "open";
-    for (const pair of this.#pairs) {
-      if (!pair.silent) continue;
-      pair.near.destroy();
-      pair.far.destroy();
+    for (const connection of this.#connections) {
+      if (!connection.isSilent) continue;
+      connection.client.destroy();
+      connection.upstream.destroy();
     }
   }
 
-  #accept(near: Socket): void {
-    near.on("error", () => near.destroy());
+  #accept(client: Socket): void {
+    client.on("error", () => client.destroy());
     if (this.#mode === "cut") {
-      near.destroy();
+      client.destroy();
       return;
     }
-    const [host, port] = this.#to.split(":");
-    const far = connect({ host: host!, port: Number(port) });
-    const pair = { near, far, silent: this.#mode === "silent" };
-    this.#pairs.add(pair);
+    const [host, port] = this.#target.split(":");
+    const upstream = connect({ host: host!, port: Number(port) });
+    const connection = { client, upstream, isSilent: this.#mode === "silent" };
+    this.#connections.add(connection);
     const close = () => {
-      this.#pairs.delete(pair);
-      if (pair.silent) return;
-      near.destroy();
-      far.destroy();
+      this.#connections.delete(connection);
+      if (connection.isSilent) return;
+      client.destroy();
+      upstream.destroy();
     };
-    far.on("error", () => far.destroy());
-    near.on("close", close);
-    far.on("close", close);
-    this.#pass(pair, near, far);
-    this.#pass(pair, far, near);
+    upstream.on("error", () => upstream.destroy());
+    client.on("close", close);
+    upstream.on("close", close);
+    this.#forward(connection, client, upstream);
+    this.#forward(connection, upstream, client);
   }
 
-  #pass(pair: { silent: boolean }, from: Socket, to: Socket): void {
+  #forward(connection: { isSilent: boolean }, from: Socket, to: Socket): void {
     from.on("data", (bytes) => {
-      if (pair.silent) return;
+      if (connection.isSilent) return;
       if (!to.write(bytes)) {
         from.pause();
         to.once("drain", () => from.resume());
@@ -88,10 +100,10 @@
   }
 
   #closeAll(): void {
-    for (const { near, far } of this.#pairs) {
-      near.destroy();
-      far.destroy();
+    for (const { client, upstream } of this.#connections) {
+      client.destroy();
+      upstream.destroy();
     }
-    this.#pairs.clear();
+    this.#connections.clear();
   }
 }
--- a/packages/experiments/src/harness/relay_mesh.ts
+++ b/packages/experiments/src/harness/relay_mesh.ts
@@ -1,17 +1,17 @@
 import { freeAddresses } from "./free_addresses.ts";
 import { Relay } from "./relay.ts";
 
-type Place = { name: string; dataCentre: string; internal: string };
+type Endpoint = { name: string; dataCentre: string; internal: string };
 
-type Link = { from: Place; to: Place; relay: Relay };
+type Link = { from: Endpoint; to: Endpoint; relay: Relay };
 
-/** A relay for each direction between processes of different data centres. */
+/** One relay per direction between processes of different data centres. */
 export class RelayMesh {
   #links: Link[] = [];
 
-  async start(places: Place[]): Promise<void> {
-    const pairs = places.flatMap((from) =>
-      places
+  async start(endpoints: Endpoint[]): Promise<void> {
+    const pairs = endpoints.flatMap((from) =>
+      endpoints
         .filter((to) => to.dataCentre !== from.dataCentre)
         .map((to) => ({ from, to }))
     );
@@ -23,8 +23,11 @@
     await Promise.all(this.#links.map(({ relay }) => relay.start()));
   }
 
-  /** What a process has to dial instead, for its settings. */
-  dialFor(name: string): Record<string, string> {
+  /**
+   * The setting internal.dial of a process: the relay's address by the internal
+   * address that the relay replaces.
+   */
+  dialOverridesFor(name: string): Record<string, string> {
     return Object.fromEntries(
       this.#links
         .filter(({ from }) => from.name === name)
@@ -32,15 +35,18 @@
     );
   }
 
-  /** Cuts a data centre off: connections break, or nobody is told. */
-  cutOff(dataCentre: string, how: "cut" | "silent"): void {
-    for (const { relay } of this.#crossing(dataCentre)) {
-      if (how === "cut") relay.cut();
+  /**
+   * Partitions a data centre from all others. With "cut" connections break,
+   * with "silent" they stay open and carry no data.
+   */
+  cutOff(dataCentre: string, mode: "cut" | "silent"): void {
+    for (const { relay } of this.#linksAcrossBoundary(dataCentre)) {
+      if (mode === "cut") relay.cut();
       else relay.silence();
     }
   }
 
-  /** Cuts only what is dialled from the data centre. */
+  /** Breaks only connections that processes of the data centre open. */
   cutOutgoing(dataCentre: string): void {
     for (const { from, relay } of this.#links) {
       if (from.dataCentre === dataCentre) relay.cut();
@@ -51,16 +57,16 @@
     for (const { relay } of this.#links) relay.heal();
   }
 
-  /** Open connections go silent for good, while new ones work. */
-  silenceOld(): void {
-    for (const { relay } of this.#links) relay.silenceOld();
+  /** Stops forwarding on open connections for good; new ones work. */
+  silenceOpenConnections(): void {
+    for (const { relay } of this.#links) relay.silenceOpenConnections();
   }
 
   stop(): void {
     for (const { relay } of this.#links) relay.stop();
   }
 
-  #crossing(dataCentre: string): Link[] {
+  #linksAcrossBoundary(dataCentre: string): Link[] {
     return this.#links.filter(({ from, to }) =>
       from.dataCentre === dataCentre || to.dataCentre === dataCentre
     );
--- a/packages/experiments/src/harness/run_client.ts
+++ b/packages/experiments/src/harness/run_client.ts
@@ -4,19 +4,22 @@
 const resolver = createRequire(import.meta.url);
 const CLIENT = resolver.resolve("@teaselrouter/operator/main.ts");
 
-type Ended = { exit: number | null; output: string };
+type ClientResult = { exitStatus: number | null; output: string };
 
-/** Runs the operators' client once, as a person would. */
+/**
+ * Runs the operators' client once through an entry host, as an operator would
+ * from the command line.
+ */
 export async function runClient(
   options: { entry: string; log: string },
-  words: string[],
-): Promise<Ended> {
+  args: string[],
+): Promise<ClientResult> {
   const child = new Child({
     name: "client",
     script: CLIENT,
-    args: [...words, "--entry", options.entry],
+    args: [...args, "--entry", options.entry],
     log: options.log,
   });
-  const exit = await child.exited;
-  return { exit, output: child.output };
+  const exitStatus = await child.exited;
+  return { exitStatus, output: child.output };
 }
--- a/packages/experiments/src/harness/running_system.ts
+++ b/packages/experiments/src/harness/running_system.ts
@@ -1,8 +1,8 @@
 import { join } from "node:path";
-import { digestOf } from "../fakes/digest_of.ts";
+import { sha256Hex } from "../fakes/sha256_hex.ts";
 import type { FakesPlan } from "../fakes/fakes_plan.ts";
 import type { StorePlan } from "../fakes/store_plan.ts";
-import { weightsOf } from "../fakes/weights_of.ts";
+import { generateWeights } from "../fakes/generate_weights.ts";
 import type { LoadPlan } from "../load/load_plan.ts";
 import type { LoadSummary } from "../load/load_summary.ts";
 import type { Child } from "./child.ts";
@@ -27,13 +27,16 @@
   originBytesPerSecond: number;
 };
 
-type Spread = { seconds: number; originCopies: number };
+type SpreadResult = { seconds: number; originCopies: number };
 
-/** A whole system on loopback: daemons, fakes, weight store, load. */
+/**
+ * A whole system on loopback, in processes of its own: the daemons, the fake
+ * backend servers, the weight store and load drivers.
+ */
 export class RunningSystem {
   readonly cluster: Cluster;
   #options: Options;
-  #store = "";
+  #storeUrl = "";
   #helpers: Child[] = [];
 
   constructor(options: Options) {
@@ -45,7 +48,7 @@
     const { cluster } = this;
     await cluster.prepare();
     const [store] = await freeAddresses(1);
-    this.#store = `http://${store}`;
+    this.#storeUrl = `http://${store}`;
     const { model: name, originBytesPerSecond: bytesPerSecond, ...rest } =
       this.#options;
     const { totalBytes, chunkBytes, commonChunks } = rest;
@@ -66,16 +69,17 @@
     };
     this.helper("fakes", "fakes/run_fakes.js", fakesPlan);
     cluster.startAll();
-    await this.#untilReady();
+    await this.#waitUntilReady();
   }
 
-  /** Ends everything that was started, and drops the folder unless kept. */
-  async destroy(options: { keepsLogs?: boolean } = {}): Promise<void> {
+  /** Kills all processes, and deletes the folder unless logs are to be kept. */
+  async destroy(options: { keepLogs?: boolean } = {}): Promise<void> {
     for (const child of this.#helpers) child.signal("SIGKILL");
     await Promise.all(this.#helpers.map((child) => child.exited));
     await this.cluster.destroy(options);
   }
 
+  /** Starts a script of this package beside the cluster's daemons. */
   helper(name: string, script: string, plan: object): Child {
     const child = startScript(
       { name, script, folder: this.cluster.folder },
@@ -97,51 +101,61 @@
     });
   }
 
+  /** Stops a load driver and returns the summary that it prints. */
   async endLoad(load: Child): Promise<LoadSummary> {
     load.signal("SIGTERM");
     await load.exited;
     return JSON.parse(load.output) as LoadSummary;
   }
 
-  /** Public address of an entry host. */
   entryUrl(name: string): string {
-    const host = this.cluster.entryHosts.find((one) => one.name === name)!;
+    const host = this.cluster.entryHosts.find((each) => each.name === name)!;
     return `http://${host.public}`;
   }
 
-  /** Runs the operators' client through one entry host. */
-  clientAt(name: string, words: string[]): ReturnType<typeof runClient> {
+  /** Runs the operators' client through the named entry host. */
+  runClientAt(name: string, args: string[]): ReturnType<typeof runClient> {
     const log = join(this.cluster.folder, "client.log");
-    return runClient({ entry: this.entryUrl(name), log }, words);
+    return runClient({ entry: this.entryUrl(name), log }, args);
   }
 
-  /** A contract's rate as an entry host has it. */
-  async rateAt(name: string, workspace: string): Promise<number | undefined> {
+  /** Returns a workspace's contract rate as one entry host reports it. */
+  async fetchContractRate(
+    name: string,
+    workspace: string,
+  ): Promise<number | undefined> {
     const status = await fetchStatus(this.entryUrl(name));
-    return status?.contracts.find((one) => one.workspace === workspace)
+    return status?.contracts.find((row) => row.workspace === workspace)
       ?.requests_per_second;
   }
 
-  /** Runs the operators' client and gives back what it printed. */
-  async client(words: string[]): Promise<string> {
+  /**
+   * Runs the operators' client through the first entry host and returns its
+   * output. Throws if the client fails.
+   */
+  async client(args: string[]): Promise<string> {
     const first = this.cluster.entryHosts[0]!.name;
-    const ended = await this.clientAt(first, words);
-    if (ended.exit !== 0) {
-      throw new Error(`${words.join(" ")} ended with ${ended.exit}`);
+    const result = await this.runClientAt(first, args);
+    if (result.exitStatus !== 0) {
+      throw new Error(`${args.join(" ")} ended with ${result.exitStatus}`);
     }
-    return ended.output;
+    return result.output;
   }
 
-  publish(version: string, words: string[] = []): Promise<string> {
+  publish(version: string, args: string[] = []): Promise<string> {
     const { model } = this.#options;
     return this.client([
       ...["weights", "publish", model, version, "--service", model],
-      ...["--store", this.#store, ...words],
+      ...["--store", this.#storeUrl, ...args],
     ]);
   }
 
-  /** Publishes a version and measures until `replicas` serve it. */
-  async spread(version: string, replicas: number): Promise<Spread> {
+  /**
+   * Publishes a version and waits until `replicas` backend servers serve it.
+   * Returns the time that took, and the bytes that the origin sent meanwhile,
+   * in copies of the weights. Throws if it takes longer than 120 s.
+   */
+  async spread(version: string, replicas: number): Promise<SpreadResult> {
     const before = await this.originBytes();
     const startedAt = performance.now();
     await this.publish(version);
@@ -151,7 +165,7 @@
       const row = status?.weights[0];
       return row?.version === name && row.live === replicas;
     }, 120_000);
-    if (!live) throw new Error(`${name} did not come live`);
+    if (!live) throw new Error(`${name} did not go live`);
     const bytes = await this.originBytes() - before;
     return {
       seconds: (performance.now() - startedAt) / MILLISECONDS,
@@ -159,11 +173,12 @@
     };
   }
 
+  /** Returns how many bytes of weights the origin has sent so far. */
   async originBytes(): Promise<number> {
-    return Number(await (await fetch(`${this.#store}/sent`)).text());
+    return Number(await (await fetch(`${this.#storeUrl}/sent`)).text());
   }
 
-  /** Bodies that the unrepeatable services ran, by their own record. */
+  /** Returns the bodies that the unrepeatable services recorded as run. */
   async record(): Promise<string[]> {
     const records = await Promise.all(
       this.cluster.backendServers
@@ -178,7 +193,7 @@
     return records.flat();
   }
 
-  async #untilReady(): Promise<void> {
+  async #waitUntilReady(): Promise<void> {
     const { cluster } = this;
     const ready = await waitUntil(async () => {
       const states = cluster.entryHosts.map((_, index) =>
@@ -205,7 +220,9 @@
     const { model, totalBytes, chunkBytes, commonChunks } = this.#options;
     return Object.fromEntries(versions.map((version) => [
       `${model}@${version}`,
-      digestOf(weightsOf({ version, totalBytes, chunkBytes, commonChunks })),
+      sha256Hex(
+        generateWeights({ version, totalBytes, chunkBytes, commonChunks }),
+      ),
     ]));
   }
 }
--- a/packages/experiments/src/harness/small_topology.ts
+++ b/packages/experiments/src/harness/small_topology.ts
@@ -1,10 +1,14 @@
 import type { Topology } from "./topology.ts";
 
 const REGION_BYTES_PER_SECOND = 18_000_000 / 8;
-/** Two other regions, one transfer to each at a time. */
-const REGION_TRANSFERS = 2;
+/** One transfer at a time to each of the two other data centres. */
+const CONCURRENT_REGION_TRANSFERS = 2;
 
-/** Cedarline's places and services, as the brief has them. */
+/**
+ * The data centres and services of Cedarline, as specified: 4 entry hosts in 3
+ * data centres, 8 engines, 3 servers with unrepeatable calls, and 1 with
+ * repeatable calls.
+ */
 export function smallTopology(linkBytesPerSecond: number): Topology {
   return {
     entryHosts: [
@@ -27,7 +31,7 @@
       { service: "portal", kind: "repeatable", dataCentres: ["van"] },
     ],
     linkBytesPerSecond,
-    regionBytesPerSecond: REGION_BYTES_PER_SECOND / REGION_TRANSFERS,
+    regionBytesPerSecond: REGION_BYTES_PER_SECOND / CONCURRENT_REGION_TRANSFERS,
     spreadWeighing: "time",
     withRelays: false,
     logLevel: "info",
--- a/packages/experiments/src/harness/topology.ts
+++ b/packages/experiments/src/harness/topology.ts
@@ -1,19 +1,19 @@
-/** One service's backend servers, by data centre. */
+/** One service, with the data centre of each of its backend servers. */
 type ServicePlan = {
   service: string;
   kind: "engine" | "repeatable" | "unrepeatable";
   dataCentres: string[];
 };
 
-/** What a cluster on loopback is made of. */
+/** The processes of a cluster on loopback and its limits. */
 export type Topology = {
-  /** Entry hosts by data centre; `control` ones keep the log. */
+  /** Hosts with `control` set are also control hosts and keep the log. */
   entryHosts: { name: string; dataCentre: string; control: boolean }[];
   services: ServicePlan[];
   linkBytesPerSecond: number;
   regionBytesPerSecond: number;
   spreadWeighing: "time" | "origin-bytes";
-  /** Whether processes of different data centres meet through relays. */
+  /** Whether processes of different data centres connect through relays. */
   withRelays: boolean;
   logLevel: "debug" | "info" | "warn" | "error";
 };
--- a/packages/experiments/src/harness/wait_until.ts
+++ b/packages/experiments/src/harness/wait_until.ts
@@ -2,13 +2,13 @@
 
 const POLL_MILLISECONDS = 50;
 
-/** Waits until `check` holds; says whether it did within the time. */
+/** Polls `check` every 50 ms. Returns false if it never holds in the time. */
 export async function waitUntil(
   check: () => Promise<boolean> | boolean,
-  milliseconds: number,
+  timeoutMilliseconds: number,
 ): Promise<boolean> {
-  const until = Date.now() + milliseconds;
-  while (Date.now() < until) {
+  const deadline = Date.now() + timeoutMilliseconds;
+  while (Date.now() < deadline) {
     if (await check()) return true;
     await pause(POLL_MILLISECONDS);
   }
