--- a/packages/experiments/src/demo/demo.ts
+++ b/packages/experiments/src/demo/demo.ts
@@ -8,19 +8,24 @@
 const TOTAL_BYTES = 48 * MEGABYTE;
 const CHUNK_BYTES = MEGABYTE / 2;
 const COMMON_CHUNKS = 24;
-/** The origin carries four copies and a host two in the time of a spread. */
+/**
+ * Sets the rate limits: in this time the origin can send four copies of the
+ * weights, and a host's link can carry two.
+ */
 const SPREAD_SECONDS = 12;
 const HOST_BYTES_PER_SECOND = 2 * TOTAL_BYTES / SPREAD_SECONDS;
 const ORIGIN_BYTES_PER_SECOND = 4 * TOTAL_BYTES / SPREAD_SECONDS;
-const MIDDLE_MILLISECONDS = 3_000;
+const OVERTAKE_DELAY_MILLISECONDS = 3_000;
 const SEED = 20_261_203;
 const MODEL = "drafter";
 const WORKSPACE = "levy-desk";
 const REPLICAS = 8;
 
 /**
- * The whole path on loopback, with live calls throughout. Says whether every
- * answer was whole, right and run once.
+ * Publishes three versions to a whole system on loopback, with live calls
+ * throughout. Returns whether no answer was wrong or cut off, the outcomes of
+ * unrepeatable calls match the services' records, and every process exited
+ * with 0.
  */
 export async function demo(): Promise<boolean> {
   const system = new RunningSystem({
@@ -34,17 +39,17 @@
   console.log(`seed ${SEED}; logs in ${system.cluster.folder}`);
   try {
     await system.start();
-    return await drive(system);
+    return await runDemoSteps(system);
   } finally {
     await system.destroy();
   }
 }
 
-async function drive(system: RunningSystem): Promise<boolean> {
-  const words = ["contract", "create", WORKSPACE, "--rate", "200"];
-  words.push("--burst", "80", "--services", "drafter,ledger,portal");
-  console.log(`$ teaselrouter ${words.join(" ")}`);
-  console.log(await system.client(words));
+async function runDemoSteps(system: RunningSystem): Promise<boolean> {
+  const args = ["contract", "create", WORKSPACE, "--rate", "200"];
+  args.push("--burst", "80", "--services", "drafter,ledger,portal");
+  console.log(`$ teaselrouter ${args.join(" ")}`);
+  console.log(await system.client(args));
   const load = system.startLoad({
     workspace: WORKSPACE,
     seed: SEED,
@@ -58,14 +63,14 @@
   console.log("publishing version 1, then 2, and 3 in the middle of 2 ...");
   const first = await system.spread("1", REPLICAS);
   await system.publish("2");
-  await pause(MIDDLE_MILLISECONDS);
+  await pause(OVERTAKE_DELAY_MILLISECONDS);
   const third = await system.spread("3", REPLICAS);
   console.log(await system.client(["status"]));
   const summary = await system.endLoad(load);
   const runFaults = findRunFaults(summary, await system.record());
   const badExits = await system.cluster.stopAll();
   for (const line of badExits) console.log(line);
-  const good = printDemoTable({
+  const hasPassed = printDemoTable({
     publications: [{ version: "1", ...first }, { version: "3", ...third }],
     replicas: REPLICAS,
     summary,
@@ -75,5 +80,5 @@
       hostSeconds: TOTAL_BYTES / HOST_BYTES_PER_SECOND,
     },
   });
-  return good && badExits.length === 0;
+  return hasPassed && badExits.length === 0;
 }
--- a/packages/experiments/src/demo/print_demo_table.ts
+++ b/packages/experiments/src/demo/print_demo_table.ts
@@ -1,24 +1,27 @@
 import type { LoadSummary } from "../load/load_summary.ts";
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 
-type Outcome = {
+type DemoResult = {
   publications: { version: string; seconds: number; originCopies: number }[];
   replicas: number;
   summary: LoadSummary;
-  /** Faults against the services' own records. */
+  /** Reported outcomes that contradict the services' own records. */
   runFaults: string[];
   bounds: { originSeconds: number; hostSeconds: number };
 };
 
-function refusals(refused: Record<string, number>): string {
+function formatRefusals(refused: Record<string, number>): string {
   const parts = Object.entries(refused).map(([reason, count]) =>
     `${count} ${reason}`
   );
   return parts.join(", ") || "-";
 }
 
-/** Prints the demo's table, and says whether all was as promised. */
-export function printDemoTable(outcome: Outcome): boolean {
+/**
+ * Prints the demo's tables. Returns whether no answer was wrong or cut off and
+ * all reported outcomes match the services' records.
+ */
+export function printDemoTable(outcome: DemoResult): boolean {
   const { summary, bounds, replicas, runFaults } = outcome;
   console.log();
   console.log(formatTable(
@@ -43,7 +46,7 @@
       row.cut,
       row.p50,
       row.p95,
-      refusals(row.refused),
+      formatRefusals(row.refused),
     ]),
   ));
   const { ran, notRun, unknown } = summary.unrepeatable;
--- a/packages/experiments/src/main.ts
+++ b/packages/experiments/src/main.ts
@@ -22,11 +22,13 @@
 const name = process.argv[2] ?? "";
 const experiment = experiments[name];
 if (experiment === undefined) {
-  console.error(`experiments: ${Object.keys(experiments).join(", ")}`);
+  console.error(
+    `usage: main.js EXPERIMENT, one of: ${Object.keys(experiments).join(", ")}`,
+  );
   process.exit(2);
 }
 experiment().then(
-  (good) => process.exit(good ? 0 : 1),
+  (hasPassed) => process.exit(hasPassed ? 0 : 1),
   (error) => {
     console.error(error);
     process.exit(1);
