--- a/acceptance/src/incident_day.ts
+++ b/acceptance/src/incident_day.ts
@@ -1,5 +1,5 @@
 import { hashText } from "@teaselrouter/core/random/hash_text.ts";
-import { seededRandom } from "@teaselrouter/core/random/seeded_random.ts";
+import { createSeededRandom } from "@teaselrouter/core/random/create_seeded_random.ts";
 import { performance } from "node:perf_hooks";
 import type { DayResult } from "./day_result.ts";
 import { findArrivalsUnderLimit } from "./find_arrivals_under_limit.ts";
@@ -54,7 +54,7 @@
 
   constructor(seed: number) {
     this.#seed = seed;
-    this.#random = seededRandom(hashText(String(seed)));
+    this.#random = createSeededRandom(hashText(String(seed)));
   }
 
   async run(): Promise<DayResult> {
--- a/acceptance/src/loopback_cluster.ts
+++ b/acceptance/src/loopback_cluster.ts
@@ -1,5 +1,5 @@
 import { Child } from "@teaselrouter/experiments/harness/child.ts";
-import { freeAddresses } from "@teaselrouter/experiments/harness/free_addresses.ts";
+import { findFreeAddresses } from "@teaselrouter/experiments/harness/find_free_addresses.ts";
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { dirname, join } from "node:path";
@@ -38,7 +38,7 @@
 
   /** Picks the ports and addresses of all hosts; must come before `start`. */
   async allocateAddresses(controlHosts: number): Promise<void> {
-    const addresses = await freeAddresses(5);
+    const addresses = await findFreeAddresses(5);
     const [control, frontend, ready, internal] = addresses.map((address) =>
       Number(address.split(":")[1])
     );
--- a/packages/core/src/consensus/raft_schedules_test.ts
+++ b/packages/core/src/consensus/raft_schedules_test.ts
@@ -15,7 +15,7 @@
 import { test } from "node:test";
 import process from "node:process";
 import { planMembership } from "../membership/plan_membership.ts";
-import { seededRandom } from "../random/seeded_random.ts";
+import { createSeededRandom } from "../random/create_seeded_random.ts";
 import { RaftNode } from "./raft_node.ts";
 import type { RaftOutput } from "./raft_output.ts";
 
@@ -104,7 +104,7 @@
   #isAutomatic: boolean;
 
   constructor(seed: number, isAutomatic: boolean) {
-    this.#random = seededRandom(seed);
+    this.#random = createSeededRandom(seed);
     this.#isAutomatic = isAutomatic;
     const size = this.#random() < 0.7 ? 3 : 5;
     this.#targetVoters = size;
--- a/packages/core/src/gateway/choose_backend_test.ts
+++ b/packages/core/src/gateway/choose_backend_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { seededRandom } from "../random/seeded_random.ts";
+import { createSeededRandom } from "../random/create_seeded_random.ts";
 import type { BackendCandidate } from "./backend_candidate.ts";
 import { BackendRecord } from "./backend_record.ts";
 import { chooseBackend } from "./choose_backend.ts";
@@ -97,7 +97,7 @@
 // requests less than the others: all hosts sent to it at once, and the prompts
 // of a whole data centre waited for prefill at one engine.
 test("hosts with the same load reports don't all choose the same engine", () => {
-  const random = seededRandom(3);
+  const random = createSeededRandom(3);
   const engines = Array.from(
     { length: 8 },
     (_, index) =>
--- a/packages/core/src/gateway/event_splitter_test.ts
+++ b/packages/core/src/gateway/event_splitter_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { Buffer } from "node:buffer";
 import { test } from "node:test";
-import { seededRandom } from "../random/seeded_random.ts";
+import { createSeededRandom } from "../random/create_seeded_random.ts";
 import { EventSplitter } from "./event_splitter.ts";
 
 test("complete events are returned however the bytes are split", () => {
@@ -9,7 +9,7 @@
     { length: 30 },
     (_, id) => `id: ${id}\ndata: ${"x".repeat(id % 7)}\n\n`,
   ).join("");
-  const random = seededRandom(3);
+  const random = createSeededRandom(3);
   for (let round = 0; round < 200; round += 1) {
     const splitter = new EventSplitter();
     let seen = "";
--- a/packages/core/src/gateway/patience_estimator_test.ts
+++ b/packages/core/src/gateway/patience_estimator_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { seededRandom } from "../random/seeded_random.ts";
+import { createSeededRandom } from "../random/create_seeded_random.ts";
 import type { Route } from "./route.ts";
 import { PatienceEstimator } from "./patience_estimator.ts";
 
@@ -50,7 +50,7 @@
 // One in three looked as if it had spent half a second on an earlier try, was
 // therefore queued behind the others, and got a late response at low load.
 test("clients with different timeouts are not taken for retries", () => {
-  const random = seededRandom(7);
+  const random = createSeededRandom(7);
   const patience = new PatienceEstimator();
   const draw = () => 5_100 + 900 * random();
   let returning = 0;
@@ -63,7 +63,7 @@
 
 // After an outage every second request is a retry.
 test("many retries are not taken for first tries", () => {
-  const random = seededRandom(8);
+  const random = createSeededRandom(8);
   const patience = new PatienceEstimator();
   const draw = () => 5_100 + 900 * random();
   let found = 0;
--- a/packages/core/src/limits/limits_test.ts
+++ b/packages/core/src/limits/limits_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { seededRandom } from "../random/seeded_random.ts";
+import { createSeededRandom } from "../random/create_seeded_random.ts";
 import type { ContractContent } from "../contracts/contract_content.ts";
 import { applyCommand } from "../state/apply_command.ts";
 import type { Command } from "../state/command.ts";
@@ -74,7 +74,7 @@
   #lossy: boolean;
 
   constructor(seed: number, options: { lossy: boolean }) {
-    this.#random = seededRandom(seed);
+    this.#random = createSeededRandom(seed);
     this.#lossy = options.lossy;
     this.hosts = HOSTS.map((name) => ({
       name,
--- a/packages/core/src/membership/backend_registry_test.ts
+++ b/packages/core/src/membership/backend_registry_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { seededRandom } from "../random/seeded_random.ts";
+import { createSeededRandom } from "../random/create_seeded_random.ts";
 import { BackendRegistry } from "./backend_registry.ts";
 import type { BackendAnnouncement } from "./backend_announcement.ts";
 
@@ -74,7 +74,7 @@
 });
 
 test("hosts that get the same announcements in any order agree", () => {
-  const random = seededRandom(7);
+  const random = createSeededRandom(7);
   for (let round = 0; round < 300; round += 1) {
     const announcements: BackendAnnouncement[] = [];
     for (let start = 1; start <= 2; start += 1) {
--- a/packages/core/src/named_limits/named_limits_test.ts
+++ b/packages/core/src/named_limits/named_limits_test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { DueNewsSelector } from "../news/due_news_selector.ts";
-import { seededRandom } from "../random/seeded_random.ts";
+import { createSeededRandom } from "../random/create_seeded_random.ts";
 import { LimitDivision } from "./limit_division.ts";
 import { LimitPartBucket } from "./limit_part_bucket.ts";
 
@@ -61,7 +61,7 @@
 
   constructor(plan: Plan) {
     this.#plan = plan;
-    this.#random = seededRandom(plan.seed);
+    this.#random = createSeededRandom(plan.seed);
     this.hosts = plan.demands.map((demand, index) => ({
       name: `host-${index}`,
       bucket: new LimitPartBucket(plan.perSecond, 0, this.#random),
@@ -323,7 +323,7 @@
 });
 
 test("a part shrinks at once, and grows after the others had time to shrink", () => {
-  const bucket = new LimitPartBucket(10, 0, seededRandom(1));
+  const bucket = new LimitPartBucket(10, 0, createSeededRandom(1));
   bucket.assignPart(0.5, 0);
   bucket.assignPart(0.2, 100);
   assert.equal(bucket.part(100), 0.2);
--- a/packages/core/src/routing/new_backend_server_row.ts
+++ b/packages/core/src/routing/create_backend_server_row.ts
@@ -19,7 +19,7 @@
 >;
 
 /** Creates the row of a backend server that was just announced. */
-export function newBackendServerRow(
+export function createBackendServerRow(
   announced: Announced,
   now: number,
 ): BackendServerRow {
--- a/packages/core/src/spread/spread_table_test.ts
+++ b/packages/core/src/spread/spread_table_test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { seededRandom } from "../random/seeded_random.ts";
+import { createSeededRandom } from "../random/create_seeded_random.ts";
 import { ChunkSet } from "./chunk_set.ts";
 import { defaultSpreadOptions } from "./default_spread_options.ts";
 import { RarestRanking } from "./rarest_ranking.ts";
@@ -37,7 +37,7 @@
   return new PeerExchangePolicy({
     ...defaultSpreadOptions,
     objective,
-    random: seededRandom(4),
+    random: createSeededRandom(4),
     ranking: new RarestRanking(),
   });
 }
--- a/packages/daemon/src/entry/sessions/agent_session.ts
+++ b/packages/daemon/src/entry/sessions/agent_session.ts
@@ -1,7 +1,7 @@
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import type { BackendServerTable } from "@teaselrouter/core/routing/backend_server_table.ts";
 import type { BackendServerRow } from "@teaselrouter/core/routing/backend_server_row.ts";
-import { newBackendServerRow } from "@teaselrouter/core/routing/new_backend_server_row.ts";
+import { createBackendServerRow } from "@teaselrouter/core/routing/create_backend_server_row.ts";
 import { versionName } from "@teaselrouter/core/spread/version_name.ts";
 import type { ControlState } from "@teaselrouter/core/state/control_state.ts";
 import type {
@@ -130,7 +130,7 @@
     const { $typeName: _type, $unknown: _unknown, ...fields } = announcement;
     const wasAccepting = existing?.accepting ?? false;
     const row: BackendServerRow = {
-      ...(existing ?? newBackendServerRow(fields, now)),
+      ...(existing ?? createBackendServerRow(fields, now)),
       ...fields,
       heardAt: now,
     };
--- a/packages/experiments/src/control/create_portal_system.ts
+++ b/packages/experiments/src/control/create_portal_system.ts
@@ -1,5 +1,5 @@
 import { RunningSystem } from "../harness/running_system.ts";
-import { smallTopology } from "../harness/small_topology.ts";
+import { createSmallTopology } from "../harness/create_small_topology.ts";
 
 /**
  * Creates a system with the hosts of the small topology and one backend server,
@@ -8,7 +8,7 @@
 export function createPortalSystem(): RunningSystem {
   return new RunningSystem({
     topology: {
-      ...smallTopology(0),
+      ...createSmallTopology(0),
       services: [
         { service: "portal", kind: "repeatable", dataCentres: ["van"] },
       ],
--- a/packages/experiments/src/demo/demo.ts
+++ b/packages/experiments/src/demo/demo.ts
@@ -1,7 +1,7 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
-import { findRunFaults } from "../harness/find_run_faults.ts";
+import { findRunErrors } from "../harness/find_run_errors.ts";
 import { RunningSystem } from "../harness/running_system.ts";
-import { smallTopology } from "../harness/small_topology.ts";
+import { createSmallTopology } from "../harness/create_small_topology.ts";
 import { printDemoTable } from "./print_demo_table.ts";
 
 const MEGABYTE = 1_048_576;
@@ -29,7 +29,7 @@
  */
 export async function demo(): Promise<boolean> {
   const system = new RunningSystem({
-    topology: smallTopology(HOST_BYTES_PER_SECOND),
+    topology: createSmallTopology(HOST_BYTES_PER_SECOND),
     model: MODEL,
     totalBytes: TOTAL_BYTES,
     chunkBytes: CHUNK_BYTES,
@@ -49,7 +49,7 @@
   const args = ["contract", "create", WORKSPACE, "--rate", "200"];
   args.push("--burst", "80", "--services", "drafter,ledger,portal");
   console.log(`$ teaselrouter ${args.join(" ")}`);
-  console.log(await system.client(args));
+  console.log(await system.runClient(args));
   const load = system.startLoad({
     workspace: WORKSPACE,
     seed: SEED,
@@ -61,13 +61,13 @@
     ],
   });
   console.log("publishing version 1, then 2, and 3 in the middle of 2 ...");
-  const first = await system.spread("1", REPLICAS);
+  const first = await system.measureSpread("1", REPLICAS);
   await system.publish("2");
   await pause(OVERTAKE_DELAY_MILLISECONDS);
-  const third = await system.spread("3", REPLICAS);
-  console.log(await system.client(["status"]));
-  const summary = await system.endLoad(load);
-  const runFaults = findRunFaults(summary, await system.record());
+  const third = await system.measureSpread("3", REPLICAS);
+  console.log(await system.runClient(["status"]));
+  const summary = await system.stopLoad(load);
+  const runFaults = findRunErrors(summary, await system.fetchRecordedBodies());
   const badExits = await system.cluster.stopAll();
   for (const line of badExits) console.log(line);
   const hasPassed = printDemoTable({
--- a/packages/experiments/src/failures/agent_fixture.ts
+++ b/packages/experiments/src/failures/agent_fixture.ts
@@ -11,7 +11,7 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
 import { RunRequestSchema } from "@teaselrouter/messages/agent.ts";
 import { sha256Hex } from "../fakes/sha256_hex.ts";
-import { expectedAnswer } from "../fakes/expected_answer.ts";
+import { computeExpectedAnswer } from "../fakes/compute_expected_answer.ts";
 import { FakeEngine } from "../fakes/fake_engine.ts";
 import { generateWeights } from "../fakes/generate_weights.ts";
 import { waitUntil } from "../harness/wait_until.ts";
@@ -164,7 +164,7 @@
       }
     }
     const weights = computeWeightsDigest(version.split("@")[1]!);
-    const expected = expectedAnswer(weights, body).join("");
+    const expected = computeExpectedAnswer(weights, body).join("");
     if (text === expected) this.answeredCalls += 1;
     else this.wrongAnswers.push(`${body} from ${version}`);
   }
--- a/packages/experiments/src/failures/at_most_once_test.ts
+++ b/packages/experiments/src/failures/at_most_once_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
-import { findRunFaults } from "../harness/find_run_faults.ts";
+import { findRunErrors } from "../harness/find_run_errors.ts";
 import { sendRequest } from "./send_request.ts";
 import { withSystem } from "./with_system.ts";
 
@@ -41,14 +41,14 @@
     cluster.child("ledger-2").signal("SIGCONT");
     cluster.mesh.silenceOpenConnections();
     await pause(FAULT_INTERVAL_MILLISECONDS * 3);
-    const summary = await system.endLoad(load);
-    const record = await system.record();
+    const summary = await system.stopLoad(load);
+    const record = await system.fetchRecordedBodies();
     const { ran, notRun, unknown } = summary.unrepeatable;
     console.log(
       `seed ${SEED}: ${ran.length} ran, ${notRun.length} not run, ` +
         `${unknown.length} unknown, ${record.length} on record`,
     );
-    assert.deepEqual(findRunFaults(summary, record), []);
+    assert.deepEqual(findRunErrors(summary, record), []);
     assert.equal(summary.services["ledger"]!.wrong, 0);
     assert.ok(ran.length > notRun.length + unknown.length);
   });
@@ -80,6 +80,6 @@
     assert.equal(reused.status, 422);
     assert.equal(reused.outcome, "not-run");
     assert.equal(reused.json["field"], "Idempotency-Key");
-    assert.deepEqual(await system.record(), ["two cakes"]);
+    assert.deepEqual(await system.fetchRecordedBodies(), ["two cakes"]);
   });
 });
--- a/packages/experiments/src/failures/chunk_sources_test.ts
+++ b/packages/experiments/src/failures/chunk_sources_test.ts
@@ -16,7 +16,7 @@
 import { sha256Hex } from "../fakes/sha256_hex.ts";
 import { WeightStore } from "../fakes/weight_store.ts";
 import { generateWeights } from "../fakes/generate_weights.ts";
-import { freeAddresses } from "../harness/free_addresses.ts";
+import { findFreeAddresses } from "../harness/find_free_addresses.ts";
 import { waitUntil } from "../harness/wait_until.ts";
 
 const WEIGHTS_SHAPE = {
@@ -114,7 +114,7 @@
   peer: RequestListener,
   scenario: (fixture: ChunkFetchFixture) => Promise<void>,
 ): Promise<void> {
-  const fixture = new ChunkFetchFixture(await freeAddresses(2), peer);
+  const fixture = new ChunkFetchFixture(await findFreeAddresses(2), peer);
   await fixture.start();
   try {
     await scenario(fixture);
--- a/packages/experiments/src/failures/claim_steps_test.ts
+++ b/packages/experiments/src/failures/claim_steps_test.ts
@@ -1,6 +1,6 @@
 import type { BackendServerRow } from "@teaselrouter/core/routing/backend_server_row.ts";
 import { BackendServerTable } from "@teaselrouter/core/routing/backend_server_table.ts";
-import { newBackendServerRow } from "@teaselrouter/core/routing/new_backend_server_row.ts";
+import { createBackendServerRow } from "@teaselrouter/core/routing/create_backend_server_row.ts";
 import { OutlierDetector } from "@teaselrouter/core/routing/outlier_detector.ts";
 import { RoundRobinPolicy } from "@teaselrouter/core/routing/round_robin_policy.ts";
 import { Router } from "@teaselrouter/core/routing/router.ts";
@@ -23,7 +23,7 @@
 import { Buffer } from "node:buffer";
 import { test } from "node:test";
 import { FakeService } from "../fakes/fake_service.ts";
-import { freeAddresses } from "../harness/free_addresses.ts";
+import { findFreeAddresses } from "../harness/find_free_addresses.ts";
 
 const ANNOUNCEMENT_LIFETIME_MILLISECONDS = 60_000;
 const CALL_MILLISECONDS = 60;
@@ -91,7 +91,7 @@
       slots: 2,
       callMilliseconds,
     });
-    this.#row = newBackendServerRow({
+    this.#row = createBackendServerRow({
       backendServer: "ledger-1",
       dataCentre: "van",
       service: "ledger",
@@ -196,7 +196,10 @@
   callMilliseconds = CALL_MILLISECONDS,
 ): void {
   test(name, async () => {
-    const fixture = new ClaimFixture(await freeAddresses(3), callMilliseconds);
+    const fixture = new ClaimFixture(
+      await findFreeAddresses(3),
+      callMilliseconds,
+    );
     await fixture.start();
     try {
       await scenario(fixture);
@@ -206,7 +209,7 @@
   });
 }
 
-const ANSWER = FakeService.answerTo(CALL_BODY);
+const ANSWER = FakeService.computeAnswer(CALL_BODY);
 
 testClaim(
   "the claim is not proposed: the call is not run and can be retried",
--- a/packages/experiments/src/failures/crashing_calls_test.ts
+++ b/packages/experiments/src/failures/crashing_calls_test.ts
@@ -1,5 +1,5 @@
 import { BackendServerTable } from "@teaselrouter/core/routing/backend_server_table.ts";
-import { newBackendServerRow } from "@teaselrouter/core/routing/new_backend_server_row.ts";
+import { createBackendServerRow } from "@teaselrouter/core/routing/create_backend_server_row.ts";
 import { OutlierDetector } from "@teaselrouter/core/routing/outlier_detector.ts";
 import { RetryBudget } from "@teaselrouter/core/routing/retry_budget.ts";
 import { RoundRobinPolicy } from "@teaselrouter/core/routing/round_robin_policy.ts";
@@ -25,7 +25,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { CrashingService } from "../fakes/crashing_service.ts";
-import { freeAddresses } from "../harness/free_addresses.ts";
+import { findFreeAddresses } from "../harness/find_free_addresses.ts";
 
 const CRASHING_BODY = "crash";
 const SERVER_COUNT = 4;
@@ -126,7 +126,7 @@
   }
 
   async #startServer(name: string): Promise<void> {
-    const [address, agentAddress] = await freeAddresses(2);
+    const [address, agentAddress] = await findFreeAddresses(2);
     const service = new CrashingService({
       address: address!,
       crashBody: CRASHING_BODY,
@@ -153,7 +153,7 @@
     });
     await server.listen(agentAddress!);
     this.#servers.push(server);
-    this.#table.set(newBackendServerRow({
+    this.#table.set(createBackendServerRow({
       backendServer: name,
       dataCentre: "here",
       service: "portal",
--- a/packages/experiments/src/failures/live_requests_test.ts
+++ b/packages/experiments/src/failures/live_requests_test.ts
@@ -23,14 +23,14 @@
   // track of all open connections: they stay open but carry no data, while
   // new ones work. Every answer in flight must be continued where it stopped.
   await withSystem({ withRelays: true }, async (system) => {
-    await system.spread("1", 3);
+    await system.measureSpread("1", 3);
     const load = system.startLoad(MODEL_LOAD);
     for (let round = 0; round < 3; round += 1) {
       await pause(LOAD_PHASE_MILLISECONDS);
       system.cluster.mesh.silenceOpenConnections();
     }
     await pause(LOAD_PHASE_MILLISECONDS);
-    const { services, wrongDetails } = await system.endLoad(load);
+    const { services, wrongDetails } = await system.stopLoad(load);
     const { drafter } = services;
     console.log(`seed ${SEED}: ${JSON.stringify(drafter)}`);
     assert.equal(drafter!.wrong, 0);
@@ -44,7 +44,7 @@
   // an entry host that handle calls get SIGTERM. Each must finish the calls
   // that it accepted and exit with 0.
   await withSystem({}, async (system) => {
-    await system.spread("1", 3);
+    await system.measureSpread("1", 3);
     const { cluster } = system;
     const load = system.startLoad(MODEL_LOAD);
     await pause(LOAD_PHASE_MILLISECONDS / 2);
@@ -52,7 +52,7 @@
       cluster.child(name).signal("SIGTERM");
       assert.equal(await cluster.child(name).exited, 0);
     }
-    const summary = await system.endLoad(load);
+    const summary = await system.stopLoad(load);
     const { drafter } = summary.services;
     console.log(`seed ${SEED}: ${JSON.stringify(drafter)}`);
     assert.equal(drafter!.wrong, 0);
@@ -67,7 +67,7 @@
   // flight. Calls whose answer had not begun are sent to another agent. An
   // answer that had begun ends with a broken connection, never as if complete.
   await withSystem({}, async (system) => {
-    await system.spread("1", 3);
+    await system.measureSpread("1", 3);
     const { cluster } = system;
     const load = system.startLoad(MODEL_LOAD);
     await pause(LOAD_PHASE_MILLISECONDS / 2);
@@ -79,7 +79,7 @@
       const status = await fetchStatus(cluster.publicUrl(0));
       return status?.weights[0]?.live === 3;
     }, TIMEOUT_MILLISECONDS);
-    const { drafter } = (await system.endLoad(load)).services;
+    const { drafter } = (await system.stopLoad(load)).services;
     console.log(`seed ${SEED}: ${JSON.stringify(drafter)}`);
     assert.ok(back, "the restarted agent does not serve the version again");
     assert.equal(drafter!.wrong, 0);
@@ -91,10 +91,10 @@
 
 test("a drained backend server gets no new work and finishes its own", async () => {
   await withSystem({}, async (system) => {
-    await system.spread("1", 3);
+    await system.measureSpread("1", 3);
     const load = system.startLoad(MODEL_LOAD);
     await pause(LOAD_PHASE_MILLISECONDS / 2);
-    await system.client(["backend", "drain", "drafter-3"]);
+    await system.runClient(["backend", "drain", "drafter-3"]);
     // The command returns once every entry host has applied it.
     await pause(LOAD_PHASE_MILLISECONDS / 4);
     const status = await fetchStatus(system.cluster.publicUrl(0));
@@ -102,7 +102,7 @@
       server.backend_server === "drafter-3"
     );
     assert.equal(row!.running + row!.queued, 0);
-    const { drafter } = (await system.endLoad(load)).services;
+    const { drafter } = (await system.stopLoad(load)).services;
     assert.equal(drafter!.whole, drafter!.sent);
   });
 });
--- a/packages/experiments/src/failures/partition_test.ts
+++ b/packages/experiments/src/failures/partition_test.ts
@@ -38,7 +38,7 @@
   // other data centres keep accepting changes. Once the partition heals, every
   // accepted change must still be there.
   await withSystem({ withRelays: true }, async (system) => {
-    await system.spread("1", 3);
+    await system.measureSpread("1", 3);
     const partitionedUrl = system.entryUrl("pgr-1");
     system.cluster.mesh.cutOff("pgr", "silent");
     assert.ok(
@@ -82,7 +82,9 @@
     );
     assert.ok(caughtUp, "the partitioned host did not catch up");
     assert.equal(await system.fetchContractRate("van-1", "desk"), 350);
-    assert.ok((await system.record()).every((body) => body !== "pay once"));
+    assert.ok(
+      (await system.fetchRecordedBodies()).every((body) => body !== "pay once"),
+    );
   });
 });
 
--- a/packages/experiments/src/failures/spread_failures_test.ts
+++ b/packages/experiments/src/failures/spread_failures_test.ts
@@ -46,7 +46,7 @@
   // complete weights.
   await withSystem(SLOW_SPREAD, async (system) => {
     const { cluster } = system;
-    await system.spread("1", 3);
+    await system.measureSpread("1", 3);
     const load = system.startLoad(MODEL_LOAD);
     await system.publish("2");
     await pause(HALFWAY_MILLISECONDS);
@@ -58,7 +58,7 @@
       await waitUntilAllLive(system, "drafter@2", 0),
       "not every replica went live",
     );
-    const { drafter } = (await system.endLoad(load)).services;
+    const { drafter } = (await system.stopLoad(load)).services;
     console.log(`seed ${SEED}: ${JSON.stringify(drafter)}`);
     assert.equal(drafter!.wrong, 0);
     assert.ok(drafter!.byVersion["drafter@2"]! > 0);
@@ -71,20 +71,25 @@
   // anywhere once 3 has, and callers must only get complete answers of one
   // version.
   await withSystem(SLOW_SPREAD, async (system) => {
-    await system.spread("1", 3);
+    await system.measureSpread("1", 3);
     const load = system.startLoad(MODEL_LOAD);
     await system.publish("2");
     await pause(HALFWAY_MILLISECONDS);
     await system.publish("3");
     assert.ok(await waitUntilAllLive(system, "drafter@3", 0));
-    const events = await system.client(["timeline", "--since", "60", "--json"]);
+    const events = await system.runClient([
+      "timeline",
+      "--since",
+      "60",
+      "--json",
+    ]);
     const live =
       (JSON.parse(events).events as { kind: string; detail: string }[])
         .filter(({ kind }) => kind === "weights-live")
         .map(({ detail }) => /version=(\S+)/.exec(detail)![1]!);
     const firstOfThree = live.indexOf("drafter@3");
     assert.ok(!live.slice(firstOfThree).includes("drafter@2"), live.join(" "));
-    const { drafter } = (await system.endLoad(load)).services;
+    const { drafter } = (await system.stopLoad(load)).services;
     assert.equal(drafter!.wrong + drafter!.cut, 0);
   });
 });
@@ -95,7 +100,7 @@
   // It keeps answering from the old version. Once the partition heals, it
   // learns the target and must go live on the new version.
   await withSystem({ ...SLOW_SPREAD, withRelays: true }, async (system) => {
-    await system.spread("1", 3);
+    await system.measureSpread("1", 3);
     await system.publish("2");
     await pause(HALFWAY_MILLISECONDS);
     system.cluster.mesh.cutOff("pgr", "silent");
--- a/packages/experiments/src/failures/waiting_calls_test.ts
+++ b/packages/experiments/src/failures/waiting_calls_test.ts
@@ -7,7 +7,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { FakeService } from "../fakes/fake_service.ts";
-import { freeAddresses } from "../harness/free_addresses.ts";
+import { findFreeAddresses } from "../harness/find_free_addresses.ts";
 import { waitUntil } from "../harness/wait_until.ts";
 
 const TIMEOUT_MILLISECONDS = 10_000;
@@ -17,7 +17,7 @@
 async function withSingleSlotService(
   scenario: (runner: CallRunner, service: FakeService) => Promise<void>,
 ): Promise<void> {
-  const [address, agentAddress] = await freeAddresses(2);
+  const [address, agentAddress] = await findFreeAddresses(2);
   const service = new FakeService({
     address: address!,
     agentAddress: agentAddress!,
--- a/packages/experiments/src/failures/with_system.ts
+++ b/packages/experiments/src/failures/with_system.ts
@@ -1,5 +1,5 @@
 import { RunningSystem } from "../harness/running_system.ts";
-import { smallTopology } from "../harness/small_topology.ts";
+import { createSmallTopology } from "../harness/create_small_topology.ts";
 
 const MEGABYTE = 1_048_576;
 
@@ -31,7 +31,7 @@
   const centres = ["van", "kel", "pgr"];
   const system = new RunningSystem({
     topology: {
-      ...smallTopology(resolved.hostBytesPerSecond),
+      ...createSmallTopology(resolved.hostBytesPerSecond),
       services: [
         { service: "drafter", kind: "engine", dataCentres: centres },
         { service: "ledger", kind: "unrepeatable", dataCentres: centres },
@@ -48,7 +48,7 @@
   let keepLogs = true;
   try {
     await system.start();
-    await system.client([
+    await system.runClient([
       ...["contract", "create", "desk", "--rate", "400", "--burst", "200"],
       ...["--services", "drafter,ledger,portal"],
     ]);
--- a/packages/experiments/src/fakes/expected_answer.ts
+++ b/packages/experiments/src/fakes/compute_expected_answer.ts
@@ -7,7 +7,10 @@
  * to a body. Each line starts with 16 digits of the digest of the weights that
  * the engine holds, so that mixed or partial weights show in every answer.
  */
-export function expectedAnswer(weightsDigest: string, body: string): string[] {
+export function computeExpectedAnswer(
+  weightsDigest: string,
+  body: string,
+): string[] {
   return Array.from(
     { length: LINE_COUNT },
     (_, line) =>
--- a/packages/experiments/src/fakes/fake_engine.ts
+++ b/packages/experiments/src/fakes/fake_engine.ts
@@ -8,7 +8,7 @@
   type ServerResponse,
 } from "node:http";
 import { Announcer } from "./announcer.ts";
-import { expectedAnswer } from "./expected_answer.ts";
+import { computeExpectedAnswer } from "./compute_expected_answer.ts";
 import { readAll } from "./read_all.ts";
 
 type Options = {
@@ -142,7 +142,7 @@
     response.setHeader("Engine-Version", this.#version);
     response.setHeader("Content-Type", "text/plain");
     const initialDigest = this.#digest;
-    const lines = expectedAnswer(initialDigest, body);
+    const lines = computeExpectedAnswer(initialDigest, body);
     if (this.stallsAnswers) return void response.write(lines[0]);
     for (const [index, line] of lines.entries()) {
       if (response.destroyed) {
@@ -152,7 +152,7 @@
       // Weights that change during an answer change the rest of its lines.
       const isUnchanged = this.#digest === initialDigest;
       response.write(
-        isUnchanged ? line : expectedAnswer(this.#digest, body)[index],
+        isUnchanged ? line : computeExpectedAnswer(this.#digest, body)[index],
       );
       await pause(this.#options.lineIntervalMilliseconds);
     }
--- a/packages/experiments/src/fakes/fake_service.ts
+++ b/packages/experiments/src/fakes/fake_service.ts
@@ -32,14 +32,14 @@
     if (this.limitPerSecond !== undefined) {
       response.setHeader("Teaselrouter-Limit", String(this.limitPerSecond));
     }
-    response.end(FakeService.answerTo(body));
+    response.end(FakeService.computeAnswer(body));
   });
 
   constructor(options: Options) {
     this.#options = options;
   }
 
-  static answerTo(body: string): string {
+  static computeAnswer(body: string): string {
     return `done ${sha256Hex([body])}\n`;
   }
 
--- a/packages/experiments/src/footprint/footprint_experiment.ts
+++ b/packages/experiments/src/footprint/footprint_experiment.ts
@@ -1,7 +1,7 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 import process from "node:process";
-import { freeAddresses } from "../harness/free_addresses.ts";
+import { findFreeAddresses } from "../harness/find_free_addresses.ts";
 import { readUsage } from "../harness/read_usage.ts";
 import { RunningSystem } from "../harness/running_system.ts";
 import type { Topology } from "../harness/topology.ts";
@@ -48,7 +48,7 @@
     services: [{ service: "portal", kind: "repeatable", dataCentres: ["van"] }],
     linkBytesPerSecond: 0,
     regionBytesPerSecond: 0,
-    spreadWeighing: "time",
+    spreadObjective: "time",
     withRelays: false,
     logLevel: "error",
   };
@@ -69,8 +69,8 @@
   return {
     cpuPercent: perSecond((usage) => usage.cpuSeconds) * 100,
     megabytes: resident / pids.length / 1_000_000,
-    kilobytesPerSecond: perSecond((usage) => usage.bytes) / 1_000,
-    callsPerSecond: perSecond((usage) => usage.calls),
+    kilobytesPerSecond: perSecond((usage) => usage.ioBytes) / 1_000,
+    callsPerSecond: perSecond((usage) => usage.ioCalls),
   };
 }
 
@@ -82,7 +82,7 @@
   system: RunningSystem,
   count: number,
 ): Promise<void> {
-  const addresses = await freeAddresses(count * 3);
+  const addresses = await findFreeAddresses(count * 3);
   const agents = Array.from({ length: count }, (_, index) => ({
     name: `light-${index + 1}`,
     dataCentre: DATA_CENTRES[index % DATA_CENTRES.length]!,
@@ -92,7 +92,7 @@
   }));
   const entryHosts = system.cluster.entryHosts.map((host) => host.internal);
   for (let first = 0; first < count; first += AGENTS_PER_PROCESS) {
-    system.helper(`light-${first}`, "footprint/run_light_agents.js", {
+    system.startHelper(`light-${first}`, "footprint/run_light_agents.js", {
       agents: agents.slice(first, first + AGENTS_PER_PROCESS),
       entryHosts,
     });
@@ -123,7 +123,7 @@
   try {
     await system.start();
     await startLightAgents(system, shape.agents - 1);
-    await system.client([
+    await system.runClient([
       ...["contract", "create", "desk", "--rate", "1000", "--burst", "200"],
       ...["--services", "portal"],
     ]);
@@ -159,7 +159,7 @@
     });
     await pause(1_000);
     await measurePhase("requests");
-    await system.endLoad(load);
+    await system.stopLoad(load);
     return rows;
   } finally {
     await system.destroy();
--- a/packages/experiments/src/harness/cluster.ts
+++ b/packages/experiments/src/harness/cluster.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { Child } from "./child.ts";
-import { freeAddresses } from "./free_addresses.ts";
+import { findFreeAddresses } from "./find_free_addresses.ts";
 import { RelayMesh } from "./relay_mesh.ts";
 import type { Topology } from "./topology.ts";
 import { writeSettings } from "./write_settings.ts";
@@ -44,7 +44,7 @@
   async prepare(): Promise<void> {
     const { entryHosts, services } = this.topology;
     const replicas = services.flatMap((plan) => plan.dataCentres);
-    const addresses = await freeAddresses(
+    const addresses = await findFreeAddresses(
       entryHosts.length * 2 + replicas.length * 3,
     );
     const takeAddress = () => addresses.pop()!;
@@ -155,7 +155,7 @@
       entry: {
         listen: host.public,
         control_hosts: voters.map((voter) => voter.internal),
-        spread_weighing: this.topology.spreadWeighing,
+        spread_weighing: this.topology.spreadObjective,
         drain_milliseconds: 300,
         request_idle_milliseconds: 2_000,
       },
--- a/packages/experiments/src/harness/small_topology.ts
+++ b/packages/experiments/src/harness/create_small_topology.ts
@@ -9,7 +9,7 @@
  * data centres, 8 engines, 3 servers with unrepeatable calls, and 1 with
  * repeatable calls.
  */
-export function smallTopology(linkBytesPerSecond: number): Topology {
+export function createSmallTopology(linkBytesPerSecond: number): Topology {
   return {
     entryHosts: [
       { name: "van-1", dataCentre: "van", control: true },
@@ -32,7 +32,7 @@
     ],
     linkBytesPerSecond,
     regionBytesPerSecond: REGION_BYTES_PER_SECOND / CONCURRENT_REGION_TRANSFERS,
-    spreadWeighing: "time",
+    spreadObjective: "time",
     withRelays: false,
     logLevel: "info",
   };
--- a/packages/experiments/src/harness/free_addresses.ts
+++ b/packages/experiments/src/harness/find_free_addresses.ts
@@ -21,7 +21,7 @@
  * Returns distinct loopback addresses with ports that the system has just
  * assigned and that are free. No call returns an address of a previous one.
  */
-export async function freeAddresses(count: number): Promise<string[]> {
+export async function findFreeAddresses(count: number): Promise<string[]> {
   const addresses: string[] = [];
   while (addresses.length < count) {
     for (const address of await allocateAddresses(count - addresses.length)) {
--- a/packages/experiments/src/harness/find_run_faults.ts
+++ b/packages/experiments/src/harness/find_run_errors.ts
@@ -5,7 +5,7 @@
  * bodies that the services recorded. Returns a line for each call that ran
  * twice, or whose outcome was reported wrongly.
  */
-export function findRunFaults(
+export function findRunErrors(
   summary: LoadSummary,
   record: string[],
 ): string[] {
--- a/packages/experiments/src/harness/read_usage.ts
+++ b/packages/experiments/src/harness/read_usage.ts
@@ -7,9 +7,9 @@
   cpuSeconds: number;
   residentBytes: number;
   /** Bytes read and written, by sockets and files together. */
-  bytes: number;
+  ioBytes: number;
   /** Read and write system calls: about one per message or batch. */
-  calls: number;
+  ioCalls: number;
 };
 
 function readField(text: string, name: string): number {
@@ -26,7 +26,7 @@
   return {
     cpuSeconds: ticks / TICKS_PER_SECOND,
     residentBytes: Number(fields[21]) * PAGE_BYTES,
-    bytes: readField(io, "rchar") + readField(io, "wchar"),
-    calls: readField(io, "syscr") + readField(io, "syscw"),
+    ioBytes: readField(io, "rchar") + readField(io, "wchar"),
+    ioCalls: readField(io, "syscr") + readField(io, "syscw"),
   };
 }
--- a/packages/experiments/src/harness/relay_mesh.ts
+++ b/packages/experiments/src/harness/relay_mesh.ts
@@ -1,4 +1,4 @@
-import { freeAddresses } from "./free_addresses.ts";
+import { findFreeAddresses } from "./find_free_addresses.ts";
 import { Relay } from "./relay.ts";
 
 type Endpoint = { name: string; dataCentre: string; internal: string };
@@ -15,7 +15,7 @@
         .filter((to) => to.dataCentre !== from.dataCentre)
         .map((to) => ({ from, to }))
     );
-    const addresses = await freeAddresses(pairs.length);
+    const addresses = await findFreeAddresses(pairs.length);
     this.#links = pairs.map((pair, index) => ({
       ...pair,
       relay: new Relay(addresses[index]!, pair.to.internal),
--- a/packages/experiments/src/harness/running_system.ts
+++ b/packages/experiments/src/harness/running_system.ts
@@ -8,7 +8,7 @@
 import type { Child } from "./child.ts";
 import { Cluster } from "./cluster.ts";
 import { fetchStatus } from "./fetch_status.ts";
-import { freeAddresses } from "./free_addresses.ts";
+import { findFreeAddresses } from "./find_free_addresses.ts";
 import { isReady } from "./is_ready.ts";
 import { runClient } from "./run_client.ts";
 import { startScript } from "./start_script.ts";
@@ -47,7 +47,7 @@
   async start(): Promise<void> {
     const { cluster } = this;
     await cluster.prepare();
-    const [store] = await freeAddresses(1);
+    const [store] = await findFreeAddresses(1);
     this.#storeUrl = `http://${store}`;
     const { model: name, originBytesPerSecond: bytesPerSecond, ...rest } =
       this.#options;
@@ -60,14 +60,14 @@
       chunkBytes,
       commonChunks,
     };
-    this.helper("store", "fakes/run_store.js", storePlan);
+    this.startHelper("store", "fakes/run_store.js", storePlan);
     const fakesPlan: FakesPlan = {
       backendServers: cluster.backendServers.map((server, index) => ({
         ...server,
         checksFencing: index % 2 === 0,
       })),
     };
-    this.helper("fakes", "fakes/run_fakes.js", fakesPlan);
+    this.startHelper("fakes", "fakes/run_fakes.js", fakesPlan);
     cluster.startAll();
     await this.#waitUntilReady();
   }
@@ -80,7 +80,7 @@
   }
 
   /** Starts a script of this package beside the cluster's daemons. */
-  helper(name: string, script: string, plan: object): Child {
+  startHelper(name: string, script: string, plan: object): Child {
     const child = startScript(
       { name, script, folder: this.cluster.folder },
       plan,
@@ -94,7 +94,7 @@
       `http://${host.public}`
     );
     const weightDigests = this.#weightDigests(["1", "2", "3", "4"]);
-    return this.helper("load", "load/load_driver.js", {
+    return this.startHelper("load", "load/load_driver.js", {
       ...plan,
       entries,
       weightDigests,
@@ -102,7 +102,7 @@
   }
 
   /** Stops a load driver and returns the summary that it prints. */
-  async endLoad(load: Child): Promise<LoadSummary> {
+  async stopLoad(load: Child): Promise<LoadSummary> {
     load.signal("SIGTERM");
     await load.exited;
     return JSON.parse(load.output) as LoadSummary;
@@ -133,7 +133,7 @@
    * Runs the operators' client through the first entry host and returns its
    * output. Throws if the client fails.
    */
-  async client(args: string[]): Promise<string> {
+  async runClient(args: string[]): Promise<string> {
     const first = this.cluster.entryHosts[0]!.name;
     const result = await this.runClientAt(first, args);
     if (result.exitStatus !== 0) {
@@ -144,7 +144,7 @@
 
   publish(version: string, args: string[] = []): Promise<string> {
     const { model } = this.#options;
-    return this.client([
+    return this.runClient([
       ...["weights", "publish", model, version, "--service", model],
       ...["--store", this.#storeUrl, ...args],
     ]);
@@ -155,7 +155,10 @@
    * Returns the time that took, and the bytes that the origin sent meanwhile,
    * in copies of the weights. Throws if it takes longer than 120 s.
    */
-  async spread(version: string, replicas: number): Promise<SpreadResult> {
+  async measureSpread(
+    version: string,
+    replicas: number,
+  ): Promise<SpreadResult> {
     const before = await this.originBytes();
     const startedAt = performance.now();
     await this.publish(version);
@@ -179,7 +182,7 @@
   }
 
   /** Returns the bodies that the unrepeatable services recorded as run. */
-  async record(): Promise<string[]> {
+  async fetchRecordedBodies(): Promise<string[]> {
     const records = await Promise.all(
       this.cluster.backendServers
         .filter((server) => server.kind === "unrepeatable")
--- a/packages/experiments/src/harness/topology.ts
+++ b/packages/experiments/src/harness/topology.ts
@@ -12,7 +12,7 @@
   services: ServicePlan[];
   linkBytesPerSecond: number;
   regionBytesPerSecond: number;
-  spreadWeighing: "time" | "origin-bytes";
+  spreadObjective: "time" | "origin-bytes";
   /** Whether processes of different data centres connect through relays. */
   withRelays: boolean;
   logLevel: "debug" | "info" | "warn" | "error";
--- a/packages/experiments/src/heavy/fleet_simulation.ts
+++ b/packages/experiments/src/heavy/fleet_simulation.ts
@@ -1,4 +1,4 @@
-import { seededRandom } from "@teaselrouter/core/random/seeded_random.ts";
+import { createSeededRandom } from "@teaselrouter/core/random/create_seeded_random.ts";
 import type { BackendAnnouncement } from "@teaselrouter/core/membership/backend_announcement.ts";
 import { EventQueue } from "../overload/event_queue.ts";
 import { ModelledCaller } from "./modelled_caller.ts";
@@ -42,7 +42,7 @@
   constructor(options: Options) {
     const { settings, policy, seed } = options;
     this.#options = options;
-    this.#random = seededRandom(seed);
+    this.#random = createSeededRandom(seed);
     const { engine } = settings;
     this.#engines = Array.from(
       { length: settings.engines },
@@ -51,7 +51,7 @@
     this.#announcements = this.#engines.map((_, index) =>
       createAnnouncement(index, settings)
     );
-    const dispatcherRandom = seededRandom(seed + 1);
+    const dispatcherRandom = createSeededRandom(seed + 1);
     this.#hosts = Array.from({ length: settings.hosts }, (_, index) => {
       const dataCentre = dataCentreOf(index, settings);
       const dispatcher = fleetPolicies[policy]!({
--- a/packages/experiments/src/load/make_call.ts
+++ b/packages/experiments/src/load/make_call.ts
@@ -1,5 +1,5 @@
 import { request as send } from "node:http";
-import { expectedAnswer } from "../fakes/expected_answer.ts";
+import { computeExpectedAnswer } from "../fakes/compute_expected_answer.ts";
 import { FakeService } from "../fakes/fake_service.ts";
 import { readAll } from "../fakes/read_all.ts";
 import type { CallResult } from "./call_result.ts";
@@ -24,11 +24,11 @@
   text: string,
 ): CallResult["kind"] {
   if (call.weightDigests === undefined) {
-    return text === FakeService.answerTo(call.body) ? "whole" : "wrong";
+    return text === FakeService.computeAnswer(call.body) ? "whole" : "wrong";
   }
   const digest = call.weightDigests[version];
   if (digest === undefined) return "wrong";
-  return text === expectedAnswer(digest, call.body).join("")
+  return text === computeExpectedAnswer(digest, call.body).join("")
     ? "whole"
     : "wrong";
 }
--- a/packages/experiments/src/overload/measure_overload.ts
+++ b/packages/experiments/src/overload/measure_overload.ts
@@ -1,7 +1,7 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 import { RunningSystem } from "../harness/running_system.ts";
-import { smallTopology } from "../harness/small_topology.ts";
+import { createSmallTopology } from "../harness/create_small_topology.ts";
 
 const MEGABYTE = 1_048_576;
 const SEED = 21;
@@ -21,7 +21,7 @@
 export async function measureOverload(): Promise<boolean> {
   const system = new RunningSystem({
     topology: {
-      ...smallTopology(0),
+      ...createSmallTopology(0),
       services: [{
         service: "drafter",
         kind: "engine",
@@ -39,11 +39,11 @@
   let wrong = 0;
   try {
     await system.start();
-    await system.client([
+    await system.runClient([
       ...["contract", "create", "desk", "--rate", "9000", "--burst", "4000"],
       ...["--services", "drafter"],
     ]);
-    await system.spread("1", ENGINES);
+    await system.measureSpread("1", ENGINES);
     for (const rate of RATES) {
       const load = system.startLoad({
         workspace: "desk",
@@ -54,7 +54,7 @@
         ],
       });
       await pause(SECONDS * 1_000);
-      const row = (await system.endLoad(load)).services["drafter"]!;
+      const row = (await system.stopLoad(load)).services["drafter"]!;
       wrong += row.wrong + row.cut;
       rows.push([
         rate,
--- a/packages/experiments/src/overload/overload_model.ts
+++ b/packages/experiments/src/overload/overload_model.ts
@@ -1,7 +1,7 @@
 import type { BackendServerRow } from "@teaselrouter/core/routing/backend_server_row.ts";
-import { seededRandom } from "@teaselrouter/core/random/seeded_random.ts";
+import { createSeededRandom } from "@teaselrouter/core/random/create_seeded_random.ts";
 import { BackendServerTable } from "@teaselrouter/core/routing/backend_server_table.ts";
-import { newBackendServerRow } from "@teaselrouter/core/routing/new_backend_server_row.ts";
+import { createBackendServerRow } from "@teaselrouter/core/routing/create_backend_server_row.ts";
 import { OutlierDetector } from "@teaselrouter/core/routing/outlier_detector.ts";
 import { PredictedWaitPolicy } from "@teaselrouter/core/routing/predicted_wait_policy.ts";
 import { RetryBudget } from "@teaselrouter/core/routing/retry_budget.ts";
@@ -78,7 +78,7 @@
 
   constructor(options: Options) {
     this.#options = options;
-    this.#random = seededRandom(options.seed);
+    this.#random = createSeededRandom(options.seed);
     for (let index = 0; index < BACKENDS; index += 1) this.#addBackend(index);
     for (let index = 0; index < ENTRY_HOSTS; index += 1) this.#addEntryHost();
   }
@@ -250,7 +250,7 @@
 }
 
 function rowFor(name: string): BackendServerRow {
-  const row = newBackendServerRow({
+  const row = createBackendServerRow({
     backendServer: name,
     dataCentre: "x",
     service: "writer",
--- a/packages/experiments/src/requests/request_experiment.ts
+++ b/packages/experiments/src/requests/request_experiment.ts
@@ -95,7 +95,7 @@
   const system = createPortalSystem();
   try {
     await system.start();
-    await system.client([
+    await system.runClient([
       ...["contract", "create", "desk", "--rate", "5000", "--burst", "2000"],
       ...["--services", "portal"],
     ]);
--- a/packages/experiments/src/spread/print_spread_curve.ts
+++ b/packages/experiments/src/spread/print_spread_curve.ts
@@ -1,4 +1,4 @@
-import { seededRandom } from "@teaselrouter/core/random/seeded_random.ts";
+import { createSeededRandom } from "@teaselrouter/core/random/create_seeded_random.ts";
 import type { ChunkRanking } from "@teaselrouter/core/spread/chunk_ranking.ts";
 import { defaultSpreadOptions } from "@teaselrouter/core/spread/default_spread_options.ts";
 import { InOrderRanking } from "@teaselrouter/core/spread/in_order_ranking.ts";
@@ -28,7 +28,7 @@
 };
 
 function createRandom(dataCentre: string): () => number {
-  return seededRandom(SEED + Number(dataCentre.slice(2)));
+  return createSeededRandom(SEED + Number(dataCentre.slice(2)));
 }
 
 function createPolicyFactory(
--- a/packages/experiments/src/spread/spread_experiment.ts
+++ b/packages/experiments/src/spread/spread_experiment.ts
@@ -1,8 +1,8 @@
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
-import { findRunFaults } from "../harness/find_run_faults.ts";
+import { findRunErrors } from "../harness/find_run_errors.ts";
 import { RunningSystem } from "../harness/running_system.ts";
-import { smallTopology } from "../harness/small_topology.ts";
+import { createSmallTopology } from "../harness/create_small_topology.ts";
 import type { Topology } from "../harness/topology.ts";
 import { printSpreadCurve } from "./print_spread_curve.ts";
 
@@ -35,26 +35,26 @@
 
 function createTopology(
   replicas: number,
-  spreadWeighing: Topology["spreadWeighing"],
+  spreadObjective: Topology["spreadObjective"],
 ): Topology {
   const dataCentres = Array.from(
     { length: replicas },
     (_, index) => DATA_CENTRES[index % DATA_CENTRES.length]!,
   );
   return {
-    ...smallTopology(HOST_BYTES_PER_SECOND),
+    ...createSmallTopology(HOST_BYTES_PER_SECOND),
     services: [
       { service: "drafter", kind: "engine", dataCentres },
       { service: "ledger", kind: "unrepeatable", dataCentres: DATA_CENTRES },
     ],
-    spreadWeighing,
+    spreadObjective,
     logLevel: "warn",
   };
 }
 
 async function measure(
   replicas: number,
-  weighing: Topology["spreadWeighing"],
+  weighing: Topology["spreadObjective"],
 ): Promise<Row> {
   const system = new RunningSystem({
     topology: createTopology(replicas, weighing),
@@ -76,15 +76,18 @@
   try {
     await system.start();
     const args = ["contract", "create", "desk", "--rate", "400", "--burst"];
-    await system.client([...args, "100", "--services", "drafter,ledger"]);
-    await system.spread("1", replicas);
+    await system.runClient([...args, "100", "--services", "drafter,ledger"]);
+    await system.measureSpread("1", replicas);
     const baselineLoad = system.startLoad(plan);
     await pause(BASELINE_MILLISECONDS);
-    const baseline = await system.endLoad(baselineLoad);
+    const baseline = await system.stopLoad(baselineLoad);
     const load = system.startLoad({ ...plan, seed: SEED + 1 });
-    const spread = await system.spread("2", replicas);
-    const duringSpread = await system.endLoad(load);
-    const faults = findRunFaults(duringSpread, await system.record());
+    const spread = await system.measureSpread("2", replicas);
+    const duringSpread = await system.stopLoad(load);
+    const faults = findRunErrors(
+      duringSpread,
+      await system.fetchRecordedBodies(),
+    );
     const wrong = Object.values(duringSpread.services).reduce(
       (sum, row) => sum + row.wrong + row.cut,
       faults.length,
--- a/packages/experiments/src/spread/spread_faults_test.ts
+++ b/packages/experiments/src/spread/spread_faults_test.ts
@@ -1,4 +1,4 @@
-import { seededRandom } from "@teaselrouter/core/random/seeded_random.ts";
+import { createSeededRandom } from "@teaselrouter/core/random/create_seeded_random.ts";
 import { defaultSpreadOptions } from "@teaselrouter/core/spread/default_spread_options.ts";
 import { RarestRanking } from "@teaselrouter/core/spread/rarest_ranking.ts";
 import type { SpreadObjective } from "@teaselrouter/core/spread/spread_objective.ts";
@@ -33,7 +33,7 @@
     policyFor: (dataCentre) => {
       return new PeerExchangePolicy({
         objective,
-        random: seededRandom(SEED + Number(dataCentre.slice(2))),
+        random: createSeededRandom(SEED + Number(dataCentre.slice(2))),
         ranking: new RarestRanking(),
         ...defaultSpreadOptions,
       });
