--- a/packages/experiments/src/demo/demo.ts
+++ b/packages/experiments/src/demo/demo.ts
@@ -15,7 +15,8 @@
 const SPREAD_SECONDS = 12;
 const HOST_BYTES_PER_SECOND = 2 * TOTAL_BYTES / SPREAD_SECONDS;
 const ORIGIN_BYTES_PER_SECOND = 4 * TOTAL_BYTES / SPREAD_SECONDS;
-const OVERTAKE_DELAY_MILLISECONDS = 3_000;
+/** How long version 2 spreads before version 3 supersedes it. */
+const SUPERSEDE_DELAY_MILLISECONDS = 3_000;
 const SEED = 20_261_203;
 const MODEL = "drafter";
 const WORKSPACE = "levy-desk";
@@ -23,8 +24,8 @@
 
 /**
  * Publishes three versions to a whole system on loopback, with live calls
- * throughout. Returns whether no answer was wrong or cut off, the outcomes of
- * unrepeatable calls match the services' records, and every process exited
+ * throughout. Returns whether no answer was wrong or incomplete, the outcomes
+ * of unrepeatable calls match the services' records, and every process exited
  * with 0.
  */
 export async function demo(): Promise<boolean> {
@@ -63,18 +64,18 @@
   console.log("publishing version 1, then 2, and 3 in the middle of 2 ...");
   const first = await system.measureSpread("1", REPLICAS);
   await system.publish("2");
-  await pause(OVERTAKE_DELAY_MILLISECONDS);
+  await pause(SUPERSEDE_DELAY_MILLISECONDS);
   const third = await system.measureSpread("3", REPLICAS);
   console.log(await system.runClient(["status"]));
   const summary = await system.stopLoad(load);
-  const runFaults = findRunErrors(summary, await system.fetchRecordedBodies());
+  const runErrors = findRunErrors(summary, await system.fetchRecordedBodies());
   const badExits = await system.cluster.stopAll();
   for (const line of badExits) console.log(line);
   const hasPassed = printDemoTable({
     publications: [{ version: "1", ...first }, { version: "3", ...third }],
     replicas: REPLICAS,
     summary,
-    runFaults,
+    runErrors,
     bounds: {
       originSeconds: TOTAL_BYTES / ORIGIN_BYTES_PER_SECOND,
       hostSeconds: TOTAL_BYTES / HOST_BYTES_PER_SECOND,
--- a/packages/experiments/src/demo/print_demo_table.ts
+++ b/packages/experiments/src/demo/print_demo_table.ts
@@ -6,7 +6,7 @@
   replicas: number;
   summary: LoadSummary;
   /** Reported outcomes that contradict the services' own records. */
-  runFaults: string[];
+  runErrors: string[];
   bounds: { originSeconds: number; hostSeconds: number };
 };
 
@@ -18,11 +18,11 @@
 }
 
 /**
- * Prints the demo's tables. Returns whether no answer was wrong or cut off and
- * all reported outcomes match the services' records.
+ * Prints the demo's tables. Returns whether no answer was wrong or incomplete
+ * and all reported outcomes match the services' records.
  */
 export function printDemoTable(outcome: DemoResult): boolean {
-  const { summary, bounds, replicas, runFaults } = outcome;
+  const { summary, bounds, replicas, runErrors } = outcome;
   console.log();
   console.log(formatTable(
     ["VERSION", "LIVE ON", "SECONDS", "ORIGIN COPIES", "BOUND: ORIGIN", "HOST"],
@@ -53,10 +53,10 @@
   console.log();
   console.log(
     `unrepeatable calls: ${ran.length} run once, ${notRun.length} not run, ` +
-      `${unknown.length} unknown, ${runFaults.length} against the record`,
+      `${unknown.length} unknown, ${runErrors.length} against the record`,
   );
-  for (const line of [...runFaults, ...summary.wrongDetails]) console.log(line);
+  for (const line of [...runErrors, ...summary.wrongDetails]) console.log(line);
   const rows = Object.values(summary.services);
   const wrong = rows.reduce((sum, row) => sum + row.wrong + row.cut, 0);
-  return wrong === 0 && runFaults.length === 0;
+  return wrong === 0 && runErrors.length === 0;
 }
--- a/packages/experiments/src/failures/at_most_once_test.ts
+++ b/packages/experiments/src/failures/at_most_once_test.ts
@@ -42,13 +42,13 @@
     cluster.mesh.silenceOpenConnections();
     await pause(FAULT_INTERVAL_MILLISECONDS * 3);
     const summary = await system.stopLoad(load);
-    const record = await system.fetchRecordedBodies();
+    const recordedBodies = await system.fetchRecordedBodies();
     const { ran, notRun, unknown } = summary.unrepeatable;
     console.log(
       `seed ${SEED}: ${ran.length} ran, ${notRun.length} not run, ` +
-        `${unknown.length} unknown, ${record.length} on record`,
+        `${unknown.length} unknown, ${recordedBodies.length} on record`,
     );
-    assert.deepEqual(findRunErrors(summary, record), []);
+    assert.deepEqual(findRunErrors(summary, recordedBodies), []);
     assert.equal(summary.services["ledger"]!.wrong, 0);
     assert.ok(ran.length > notRun.length + unknown.length);
   });
--- a/packages/experiments/src/failures/claim_steps_test.ts
+++ b/packages/experiments/src/failures/claim_steps_test.ts
@@ -68,7 +68,7 @@
 
 /**
  * One agent process and its service. The test can kill the agent and start
- * another one in its place.
+ * another incarnation of it.
  */
 class ClaimFixture {
   readonly log = new FaultyLog();
--- a/packages/experiments/src/failures/control_failures_test.ts
+++ b/packages/experiments/src/failures/control_failures_test.ts
@@ -100,9 +100,9 @@
 
 test("a lost disk is replaced by one command, and a second loss keeps every change", async () => {
   // Guards against changes lost with a disk: a voter's disk fails and is
-  // replaced by an empty one. The host must not vote under its old identity;
-  // one command admits it as a new member. Right after that another host is
-  // lost for good, and every accepted change must still be there.
+  // replaced by an empty one. The host must not vote under its old
+  // member id; one command admits it as a new member. Right after that another
+  // host is lost for good, and every accepted change must still be there.
   await withSystem({}, async (system) => {
     const { cluster } = system;
     await runUntilAccepted(system, "van-1", [
--- a/packages/experiments/src/failures/crashing_calls_test.ts
+++ b/packages/experiments/src/failures/crashing_calls_test.ts
@@ -34,8 +34,8 @@
 const ROUND_MILLISECONDS = 400;
 const ANNOUNCEMENT_LIFETIME_MILLISECONDS = 60_000;
 /**
- * One entry host sees three crashes; the other sees two before the replicated
- * tables tell it of the blame.
+ * One entry host sees three crashes; the other sees two before it receives the
+ * blame through the replicated tables.
  */
 const MAX_CRASHES = 5;
 
--- a/packages/experiments/src/harness/find_run_errors.ts
+++ b/packages/experiments/src/harness/find_run_errors.ts
@@ -7,19 +7,19 @@
  */
 export function findRunErrors(
   summary: LoadSummary,
-  record: string[],
+  recordedBodies: string[],
 ): string[] {
   const executed = new Set<string>();
-  const faults: string[] = [];
-  for (const body of record) {
-    if (executed.has(body)) faults.push(`ran twice: ${body}`);
+  const errors: string[] = [];
+  for (const body of recordedBodies) {
+    if (executed.has(body)) errors.push(`ran twice: ${body}`);
     executed.add(body);
   }
   for (const body of summary.unrepeatable.notRun) {
-    if (executed.has(body)) faults.push(`reported not run, but ran: ${body}`);
+    if (executed.has(body)) errors.push(`reported not run, but ran: ${body}`);
   }
   for (const body of summary.unrepeatable.ran) {
-    if (!executed.has(body)) faults.push(`reported run, but did not: ${body}`);
+    if (!executed.has(body)) errors.push(`reported run, but did not: ${body}`);
   }
-  return faults;
+  return errors;
 }
--- a/packages/experiments/src/harness/wait_until.ts
+++ b/packages/experiments/src/harness/wait_until.ts
@@ -2,7 +2,7 @@
 
 const POLL_MILLISECONDS = 50;
 
-/** Polls `check` every 50 ms. Returns false if it never holds in the time. */
+/** Polls `check` every 50 ms. Returns false if it does not hold in time. */
 export async function waitUntil(
   check: () => Promise<boolean> | boolean,
   timeoutMilliseconds: number,
--- a/packages/experiments/src/heavy/fleet_metrics.ts
+++ b/packages/experiments/src/heavy/fleet_metrics.ts
@@ -1,7 +1,7 @@
 /**
  * Metrics of one run. `worth`, `worstWindow` and `worstKind` are shares of the
- * worth that the calls would have earned if all had been answered in time; the
- * outcomes are shares of all calls.
+ * worth that the calls would have earned if all had been timely; the outcomes
+ * are shares of all calls.
  */
 export type FleetMetrics = {
   calls: number;
--- a/packages/experiments/src/heavy/fleet_settings_schema.ts
+++ b/packages/experiments/src/heavy/fleet_settings_schema.ts
@@ -12,11 +12,11 @@
   answer_tokens: z.number().positive(),
   /** Standard deviation of the logarithm of both token counts. */
   spread: z.number().min(0),
-  /** Time to the first event within which a call is in time. */
+  /** Time to the first event within which a call is timely. */
   target_ms: milliseconds,
   /** Time after which the caller gives up. */
   patience_ms: milliseconds,
-  /** Worth of a call answered in time, and of one answered late. */
+  /** Worth of a timely call and of a late one. */
   worth: z.number().positive(),
   late_worth: z.number().min(0),
 });
--- a/packages/experiments/src/heavy/fleet_simulation_test.ts
+++ b/packages/experiments/src/heavy/fleet_simulation_test.ts
@@ -54,7 +54,7 @@
   }
 });
 
-test("below the engines' capacity nearly all calls are in time", () => {
+test("below the engines' capacity nearly all calls are timely", () => {
   assert.ok(estimateCapacity(settings) > 0);
   const pattern = { ...fleetPatterns["steady-0.8"]!, load: () => 0.5 };
   const run = new FleetSimulation({
--- a/packages/experiments/src/heavy/metrics_collector.ts
+++ b/packages/experiments/src/heavy/metrics_collector.ts
@@ -6,7 +6,7 @@
 const WINDOW_MILLISECONDS = 2_000;
 const MAX_TRACKED_MILLISECONDS = 60_000;
 
-/** Worth earned by calls, and worth if all had been answered in time. */
+/** Worth earned by calls, and worth if all had been timely. */
 type WorthSum = { earned: number; possible: number };
 
 /** Collects the outcomes of all calls of a run and computes its metrics. */
--- a/packages/experiments/src/overload/measure_overload.ts
+++ b/packages/experiments/src/overload/measure_overload.ts
@@ -16,7 +16,7 @@
 
 /**
  * Measures overload on real processes, with three engines of eight slots.
- * Returns whether no answer was wrong or cut.
+ * Returns whether no answer was wrong or incomplete.
  */
 export async function measureOverload(): Promise<boolean> {
   const system = new RunningSystem({
--- a/packages/experiments/src/spread/spread_experiment.ts
+++ b/packages/experiments/src/spread/spread_experiment.ts
@@ -24,12 +24,12 @@
 
 type Row = {
   replicas: number;
-  weighing: string;
+  objective: string;
   seconds: number;
   originCopies: number;
   baselineP95: number;
   spreadP95: number;
-  /** Wrong and cut answers, and calls not run exactly as reported. */
+  /** Wrong and incomplete answers, and calls not run exactly as reported. */
   wrong: number;
 };
 
@@ -54,10 +54,10 @@
 
 async function measure(
   replicas: number,
-  weighing: Topology["spreadObjective"],
+  objective: Topology["spreadObjective"],
 ): Promise<Row> {
   const system = new RunningSystem({
-    topology: createTopology(replicas, weighing),
+    topology: createTopology(replicas, objective),
     model: "drafter",
     totalBytes: TOTAL_BYTES,
     chunkBytes: MEGABYTE / 4,
@@ -84,17 +84,17 @@
     const load = system.startLoad({ ...plan, seed: SEED + 1 });
     const spread = await system.measureSpread("2", replicas);
     const duringSpread = await system.stopLoad(load);
-    const faults = findRunErrors(
+    const runErrors = findRunErrors(
       duringSpread,
       await system.fetchRecordedBodies(),
     );
     const wrong = Object.values(duringSpread.services).reduce(
       (sum, row) => sum + row.wrong + row.cut,
-      faults.length,
+      runErrors.length,
     );
     return {
       replicas,
-      weighing,
+      objective,
       ...spread,
       baselineP95: baseline.services["drafter"]!.p95,
       spreadP95: duringSpread.services["drafter"]!.p95,
@@ -124,7 +124,7 @@
   console.log(formatTable(
     [
       "N",
-      "WEIGHING",
+      "OBJECTIVE",
       "SECONDS",
       "/HOST LINK",
       "NAIVE S",
@@ -135,7 +135,7 @@
     ],
     rows.map((row) => [
       row.replicas,
-      row.weighing,
+      row.objective,
       row.seconds.toFixed(1),
       (row.seconds / bound).toFixed(2),
       (row.replicas * TOTAL_BYTES / ORIGIN_BYTES_PER_SECOND).toFixed(0),
