--- a/packages/experiments/src/demo/demo.ts
+++ b/packages/experiments/src/demo/demo.ts
@@ -1,5 +1,5 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
-import { findRunErrors } from "../harness/find_run_errors.ts";
+import { findRunErrors } from "../harness/find_run_faults.ts";
 import { RunningSystem } from "../harness/running_system.ts";
 import { createSmallTopology } from "../harness/create_small_topology.ts";
 import { printDemoTable } from "./print_demo_table.ts";
--- a/packages/experiments/src/failures/agent_fixture.ts
+++ b/packages/experiments/src/failures/agent_fixture.ts
@@ -11,7 +11,7 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
 import { RunRequestSchema } from "@teaselrouter/messages/agent.ts";
 import { sha256Hex } from "../fakes/sha256_hex.ts";
-import { computeExpectedAnswer } from "../fakes/compute_expected_answer.ts";
+import { computeExpectedAnswer } from "../fakes/expected_answer.ts";
 import { FakeEngine } from "../fakes/fake_engine.ts";
 import { generateWeights } from "../fakes/generate_weights.ts";
 import { waitUntil } from "../harness/wait_until.ts";
--- a/packages/experiments/src/failures/at_most_once_test.ts
+++ b/packages/experiments/src/failures/at_most_once_test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
-import { findRunErrors } from "../harness/find_run_errors.ts";
+import { findRunErrors } from "../harness/find_run_faults.ts";
 import { sendRequest } from "./send_request.ts";
 import { withSystem } from "./with_system.ts";
 
--- a/packages/experiments/src/fakes/fake_engine.ts
+++ b/packages/experiments/src/fakes/fake_engine.ts
@@ -8,7 +8,7 @@
   type ServerResponse,
 } from "node:http";
 import { Announcer } from "./announcer.ts";
-import { computeExpectedAnswer } from "./compute_expected_answer.ts";
+import { computeExpectedAnswer } from "./expected_answer.ts";
 import { readAll } from "./read_all.ts";
 
 type Options = {
--- a/packages/experiments/src/load/make_call.ts
+++ b/packages/experiments/src/load/make_call.ts
@@ -1,5 +1,5 @@
 import { request as send } from "node:http";
-import { computeExpectedAnswer } from "../fakes/compute_expected_answer.ts";
+import { computeExpectedAnswer } from "../fakes/expected_answer.ts";
 import { FakeService } from "../fakes/fake_service.ts";
 import { readAll } from "../fakes/read_all.ts";
 import type { CallResult } from "./call_result.ts";
--- a/packages/experiments/src/spread/spread_experiment.ts
+++ b/packages/experiments/src/spread/spread_experiment.ts
@@ -1,6 +1,6 @@
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
-import { findRunErrors } from "../harness/find_run_errors.ts";
+import { findRunErrors } from "../harness/find_run_faults.ts";
 import { RunningSystem } from "../harness/running_system.ts";
 import { createSmallTopology } from "../harness/create_small_topology.ts";
 import type { Topology } from "../harness/topology.ts";
