--- a/packages/experiments/src/demo/demo.ts
+++ b/packages/experiments/src/demo/demo.ts
@@ -1,30 +1,36 @@
 import { pause } from "@teaselrouter/daemon/transport/pause.ts";
-import { findRunFaults } from "../harness/find_run_faults.ts";
+import { findRunErrors } from "../harness/find_run_faults.ts";
 import { RunningSystem } from "../harness/running_system.ts";
-import { smallTopology } from "../harness/small_topology.ts";
+import { createSmallTopology } from "../harness/create_small_topology.ts";
 import { printDemoTable } from "./print_demo_table.ts";
 
 const MEGABYTE = 1_048_576;
 const TOTAL_BYTES = 48 * MEGABYTE;
 const CHUNK_BYTES = MEGABYTE / 2;
 const COMMON_CHUNKS = 24;
-/** The origin carries four copies and a host two in the time of a spread. */
+/**
+ * Sets the rate limits: in this time the origin can send four copies of the
+ * weights, and a host's link can carry two.
+ */
 const SPREAD_SECONDS = 12;
 const HOST_BYTES_PER_SECOND = 2 * TOTAL_BYTES / SPREAD_SECONDS;
 const ORIGIN_BYTES_PER_SECOND = 4 * TOTAL_BYTES / SPREAD_SECONDS;
-const MIDDLE_MILLISECONDS = 3_000;
+/** How long version 2 spreads before version 3 supersedes it. */
+const SUPERSEDE_DELAY_MILLISECONDS = 3_000;
 const SEED = 20_261_203;
 const MODEL = "drafter";
 const WORKSPACE = "levy-desk";
 const REPLICAS = 8;
 
 /**
- * The whole path on loopback, with live calls throughout. Says whether every
- * answer was whole, right and run once.
+ * Publishes three versions to a whole system on loopback, with live calls
+ * throughout. Returns whether no answer was wrong or incomplete, the outcomes
+ * of unrepeatable calls match the services' records, and every process exited
+ * with 0.
  */
 export async function demo(): Promise<boolean> {
   const system = new RunningSystem({
-    topology: smallTopology(HOST_BYTES_PER_SECOND),
+    topology: createSmallTopology(HOST_BYTES_PER_SECOND),
     model: MODEL,
     totalBytes: TOTAL_BYTES,
     chunkBytes: CHUNK_BYTES,
@@ -34,17 +40,17 @@
   console.log(`seed ${SEED}; logs in ${system.cluster.folder}`);
   try {
     await system.start();
-    return await drive(system);
+    return await runDemoSteps(system);
   } finally {
     await system.destroy();
   }
 }
 
-async function drive(system: RunningSystem): Promise<boolean> {
-  const words = ["contract", "create", WORKSPACE, "--rate", "200"];
-  words.push("--burst", "80", "--services", "drafter,ledger,portal");
-  console.log(`$ teaselrouter ${words.join(" ")}`);
-  console.log(await system.client(words));
+async function runDemoSteps(system: RunningSystem): Promise<boolean> {
+  const args = ["contract", "create", WORKSPACE, "--rate", "200"];
+  args.push("--burst", "80", "--services", "drafter,ledger,portal");
+  console.log(`$ teaselrouter ${args.join(" ")}`);
+  console.log(await system.runClient(args));
   const load = system.startLoad({
     workspace: WORKSPACE,
     seed: SEED,
@@ -56,24 +62,24 @@
     ],
   });
   console.log("publishing version 1, then 2, and 3 in the middle of 2 ...");
-  const first = await system.spread("1", REPLICAS);
+  const first = await system.measureSpread("1", REPLICAS);
   await system.publish("2");
-  await pause(MIDDLE_MILLISECONDS);
-  const third = await system.spread("3", REPLICAS);
-  console.log(await system.client(["status"]));
-  const summary = await system.endLoad(load);
-  const runFaults = findRunFaults(summary, await system.record());
+  await pause(SUPERSEDE_DELAY_MILLISECONDS);
+  const third = await system.measureSpread("3", REPLICAS);
+  console.log(await system.runClient(["status"]));
+  const summary = await system.stopLoad(load);
+  const runErrors = findRunErrors(summary, await system.fetchRecordedBodies());
   const badExits = await system.cluster.stopAll();
   for (const line of badExits) console.log(line);
-  const good = printDemoTable({
+  const hasPassed = printDemoTable({
     publications: [{ version: "1", ...first }, { version: "3", ...third }],
     replicas: REPLICAS,
     summary,
-    runFaults,
+    runErrors,
     bounds: {
       originSeconds: TOTAL_BYTES / ORIGIN_BYTES_PER_SECOND,
       hostSeconds: TOTAL_BYTES / HOST_BYTES_PER_SECOND,
     },
   });
-  return good && badExits.length === 0;
+  return hasPassed && badExits.length === 0;
 }
--- a/packages/experiments/src/demo/print_demo_table.ts
+++ b/packages/experiments/src/demo/print_demo_table.ts
@@ -1,25 +1,28 @@
 import type { LoadSummary } from "../load/load_summary.ts";
 import { formatTable } from "@teaselrouter/operator/output/format_table.ts";
 
-type Outcome = {
+type DemoResult = {
   publications: { version: string; seconds: number; originCopies: number }[];
   replicas: number;
   summary: LoadSummary;
-  /** Faults against the services' own records. */
-  runFaults: string[];
+  /** Reported outcomes that contradict the services' own records. */
+  runErrors: string[];
   bounds: { originSeconds: number; hostSeconds: number };
 };
 
-function refusals(refused: Record<string, number>): string {
+function formatRefusals(refused: Record<string, number>): string {
   const parts = Object.entries(refused).map(([reason, count]) =>
     `${count} ${reason}`
   );
   return parts.join(", ") || "-";
 }
 
-/** Prints the demo's table, and says whether all was as promised. */
-export function printDemoTable(outcome: Outcome): boolean {
-  const { summary, bounds, replicas, runFaults } = outcome;
+/**
+ * Prints the demo's tables. Returns whether no answer was wrong or incomplete
+ * and all reported outcomes match the services' records.
+ */
+export function printDemoTable(outcome: DemoResult): boolean {
+  const { summary, bounds, replicas, runErrors } = outcome;
   console.log();
   console.log(formatTable(
     ["VERSION", "LIVE ON", "SECONDS", "ORIGIN COPIES", "BOUND: ORIGIN", "HOST"],
@@ -43,17 +46,17 @@
       row.cut,
       row.p50,
       row.p95,
-      refusals(row.refused),
+      formatRefusals(row.refused),
     ]),
   ));
   const { ran, notRun, unknown } = summary.unrepeatable;
   console.log();
   console.log(
     `unrepeatable calls: ${ran.length} run once, ${notRun.length} not run, ` +
-      `${unknown.length} unknown, ${runFaults.length} against the record`,
+      `${unknown.length} unknown, ${runErrors.length} against the record`,
   );
-  for (const line of [...runFaults, ...summary.wrongDetails]) console.log(line);
+  for (const line of [...runErrors, ...summary.wrongDetails]) console.log(line);
   const rows = Object.values(summary.services);
   const wrong = rows.reduce((sum, row) => sum + row.wrong + row.cut, 0);
-  return wrong === 0 && runFaults.length === 0;
+  return wrong === 0 && runErrors.length === 0;
 }
