--- a/packages/daemon/src/transport/follow_set_test.ts
+++ b/packages/daemon/src/transport/follow_set_test.ts
@@ -27,7 +27,7 @@
         return this.#updates(signal);
       },
     });
-    return { client, renew: () => undefined } as unknown as ClientPool;
+    return { client, dropConnection: () => undefined } as unknown as ClientPool;
   }
 
   answer(): void {
