--- a/packages/daemon/src/control/can_bootstrap_cluster.ts
+++ b/packages/daemon/src/control/can_bootstrap_cluster.ts
@@ -2,9 +2,10 @@
 import type { Settings } from "../settings/settings.ts";
 
 /**
- * Whether a control host at `address` may bootstrap a cluster: it has no log
- * and is a founder that the settings allow to do so. A member that joined an
- * existing cluster has a log, though it bootstrapped nothing.
+ * Whether the control host at `address` runs `bootstrapCluster`: it has no log
+ * and, if `tolerated_losses` is set, it is one of the founders and `may_found`
+ * is true. A member that joined an existing cluster has a log, though it
+ * bootstrapped nothing.
  */
 export function canBootstrapCluster(
   { control }: Settings,
@@ -14,8 +15,10 @@
   const isEmpty = entries.length === 0 && hardState.term === 0 &&
     snapshot.lastIndex === 0;
   const { may_found, tolerated_losses, founders } = control!;
-  // Without automatic membership (tolerated_losses), a host that is not a
-  // founder also asks the founders and waits.
+  // If `tolerated_losses` isn't set (no automatic membership), a host that is
+  // not a founder runs it too: it asks the founders for the membership and
+  // waits for an operator to add it. If all of them answer that no cluster
+  // exists yet, it becomes one of the first members.
   if (tolerated_losses === undefined) return isEmpty;
   return isEmpty && may_found &&
     founders.some((founder) => founder.address === address);
--- a/packages/daemon/src/control/control_app.ts
+++ b/packages/daemon/src/control/control_app.ts
@@ -136,7 +136,10 @@
     return Result.ok(undefined);
   }
 
-  /** Takes over changed founders as the addresses of control hosts to try. */
+  /**
+   * Replaces the founders' addresses, at which control hosts are tried, by
+   * those in the new settings; an empty list is ignored.
+   */
   reload(settings: Settings): void {
     const founders = settings.control?.founders ?? [];
     if (founders.length > 0) {
--- a/packages/daemon/src/control/control_host.ts
+++ b/packages/daemon/src/control/control_host.ts
@@ -29,28 +29,32 @@
   term: number;
   resolve: (outcome: ProposalOutcome) => void;
 };
-type FollowedCommand = { index: number; bytes: Uint8Array };
+type EntryHostCommand = { index: number; bytes: Uint8Array };
 
 /**
  * The replicated state of a control host. Applies committed entries and, on
  * the leader, proposes commands and divides limits among the entry hosts.
  */
 export class ControlHost {
-  /** Emits the commands that entry hosts follow, once applied here. */
-  readonly commands$ = new Subject<FollowedCommand>();
+  /** Emits each command that is sent to entry hosts, once applied here. */
+  readonly commands$ = new Subject<EntryHostCommand>();
   /** Emits when the routing configuration or named weights may have changed. */
   readonly configurationChanged$ = new Subject<void>();
-  /** Emits when a snapshot replaced the state; followers need all of it. */
+  /**
+   * Emits when a snapshot replaced the state; entry hosts are then sent all of
+   * it.
+   */
   readonly stateReplaced$ = new Subject<void>();
   readonly node: RaftNode;
   #driver: RaftDriver;
   #log: EventLog;
   #state: ControlState;
   #pendingProposals = new Map<number, PendingProposal>();
-  #recentCommands: FollowedCommand[] = [];
-  /** `#recentCommands` holds all followed commands after this log index. */
+  #recentCommands: EntryHostCommand[] = [];
+  /** `#recentCommands` holds all commands for entry hosts after this index. */
   #recentCommandsAfter: number;
   #allotter: LimitAllotter | undefined;
+  /** When the allotter was created, monotonic milliseconds. */
   #leadingSince = 0;
   #inForceWaiters = new InForceWaiters();
 
@@ -100,6 +104,9 @@
   /**
    * Whether this host leads, a majority has answered it recently, and it has
    * committed an entry of its own term, so that it knows all committed entries.
+   * Discards the limit allotter if not.
+   *
+   * @param now monotonic milliseconds
    */
   isLeading(now: number): boolean {
     const leading = this.node.isLeading(now) && this.node.hasCommittedOwnTerm;
@@ -107,7 +114,12 @@
     return leading;
   }
 
-  /** Returns the leader's limit allotter; undefined when not leading. */
+  /**
+   * Returns the leader's limit allotter, created and logged as `leading` by the
+   * first call while this host leads; undefined when not leading.
+   *
+   * @param now monotonic milliseconds
+   */
   getAllotter(now: number): LimitAllotter | undefined {
     if (!this.isLeading(now)) return undefined;
     if (this.#allotter === undefined) {
@@ -118,22 +130,32 @@
     return this.#allotter;
   }
 
-  /** Commands after `cursor`; undefined if the whole state must be sent. */
-  commandsAfter(cursor: number): FollowedCommand[] | undefined {
+  /**
+   * Commands for entry hosts after log index `cursor`; undefined if the whole
+   * state must be sent.
+   */
+  commandsAfter(cursor: number): EntryHostCommand[] | undefined {
     if (cursor < this.#recentCommandsAfter) return undefined;
-    return this.#recentCommands.filter((followed) => followed.index > cursor);
+    return this.#recentCommands.filter((command) => command.index > cursor);
   }
 
-  encodeForFollowers(): Uint8Array {
+  encodeForEntryHosts(): Uint8Array {
     return encodeControlState(this.#state, { withClaims: false });
   }
 
+  /**
+   * Proposes a command. Resolves within 5 s with its outcome, or with
+   * `untilInForce` up to 5 s later: once all entry hosts with a lease have
+   * applied it, or at the end of that time with `inForce: false`.
+   */
   async propose(
     command: Command,
     options: { untilInForce: boolean },
   ): Promise<ProposalOutcome> {
     const now = monotonicMilliseconds();
     if (!this.isLeading(now)) return { kind: "not-proposed" };
+    // The leader sets the time of every command that has one, Unix
+    // milliseconds; what the proposer put there is ignored.
     const stamped = "at" in command ? { ...command, at: Date.now() } : command;
     const bytes = new TextEncoder().encode(JSON.stringify(stamped));
     const index = this.node.propose(bytes, now);
@@ -189,6 +211,8 @@
   /**
    * Resolves the waiting changes that all entry hosts with a lease have
    * applied. Called after each entry host's report.
+   *
+   * @param now monotonic milliseconds
    */
   checkInForce(now: number): void {
     const allotter = this.getAllotter(now);
@@ -264,12 +288,12 @@
     });
   }
 
-  #publishCommand(followed: FollowedCommand): void {
-    this.#recentCommands.push(followed);
+  #publishCommand(command: EntryHostCommand): void {
+    this.#recentCommands.push(command);
     if (this.#recentCommands.length > MAX_RECENT_COMMANDS) {
       this.#recentCommandsAfter = this.#recentCommands.shift()!.index;
     }
-    this.commands$.next(followed);
+    this.commands$.next(command);
   }
 
   #installSnapshot(snapshot: SnapshotData): void {
--- a/packages/daemon/src/control/control_operations_handler.ts
+++ b/packages/daemon/src/control/control_operations_handler.ts
@@ -63,13 +63,13 @@
     }
     // The applied routing is committed, so a repeated older change is
     // acknowledged without asking the leader.
-    const current = this.#appliedRouting?.version ?? -1;
-    const done = version <= current ||
+    const currentVersion = this.#appliedRouting?.version ?? -1;
+    const done = version <= currentVersion ||
       (await this.#execute({ kind: "replace-routing", version, document })) !==
         undefined;
     log.info("routing-change", {
       version,
-      standing: current,
+      standing: currentVersion,
       outcome: done ? "accepted" : "unknown",
     });
     return done
--- a/packages/daemon/src/control/crash_attributor.ts
+++ b/packages/daemon/src/control/crash_attributor.ts
@@ -48,7 +48,10 @@
   readonly localReports$ = new Subject<CrashNews>();
   /** Blames decided here or sent by a gateway, to be committed. */
   readonly blamed$ = new Subject<Blame>();
-  /** Requests that one more end would get blamed, to be committed as well. */
+  /**
+   * Requests that would be blamed after one more crash, to be committed as
+   * well.
+   */
   readonly suspected$ = new Subject<Suspicion>();
   /** Fingerprints cleared because the request completed successfully. */
   readonly cleared$ = new Subject<string>();
@@ -109,6 +112,8 @@
     for (const { fingerprint, incarnations } of suspicions) {
       this.#persisted.add(fingerprint);
       for (const incarnation of incarnations) {
+        // A stored suspicion doesn't say how long the answers ran. 0 counts
+        // each crash in full; undefined would count it half.
         const report = { fingerprint, incarnation, begunMilliseconds: 0 };
         this.#ledger.recordReport(report, now);
       }
--- a/packages/daemon/src/control/entry_session.ts
+++ b/packages/daemon/src/control/entry_session.ts
@@ -40,7 +40,7 @@
   readonly outgoing$ = new Subject<ControlToEntry>();
   #options: Options;
   #host = "";
-  #receivedAt = monotonicMilliseconds();
+  #lastMessageAt = monotonicMilliseconds();
   #subscriptions = new Subscription();
 
   constructor(options: Options) {
@@ -48,7 +48,7 @@
   }
 
   handleMessage(message: EntryToControl): void {
-    this.#receivedAt = monotonicMilliseconds();
+    this.#lastMessageAt = monotonicMilliseconds();
     this.#options.timeline.observe(Date.now(), {
       time: message.clockTime,
       counter: message.clockCounter,
@@ -57,7 +57,7 @@
     switch (body.case) {
       case "hello":
         this.#host = body.value.host;
-        this.#startFollowing(body.value.cursor);
+        this.#startSending(body.value.cursor);
         return;
       case "report":
         return this.#handleReport(body.value);
@@ -72,13 +72,13 @@
     this.outgoing$.complete();
   }
 
-  #startFollowing(cursor: number): void {
+  #startSending(cursor: number): void {
     const { control } = this.#options;
     const earlier = control.commandsAfter(cursor);
     if (earlier === undefined) this.#sendState();
-    else for (const followed of earlier) this.#sendCommand(followed);
+    else for (const command of earlier) this.#sendCommand(command);
     this.#subscriptions.add(
-      control.commands$.subscribe((followed) => this.#sendCommand(followed)),
+      control.commands$.subscribe((command) => this.#sendCommand(command)),
     );
     this.#subscriptions.add(
       control.stateReplaced$.subscribe(() => this.#sendState()),
@@ -100,8 +100,8 @@
    * forever.
    */
   #closeIfSilent(): void {
-    const isSilent =
-      monotonicMilliseconds() - this.#receivedAt > SILENCE_TIMEOUT_MILLISECONDS;
+    const isSilent = monotonicMilliseconds() - this.#lastMessageAt >
+      SILENCE_TIMEOUT_MILLISECONDS;
     if (isSilent) this.close();
   }
 
@@ -171,14 +171,14 @@
   #sendState(): void {
     const { control } = this.#options;
     const index = control.state.appliedIndex;
-    const state = control.encodeForFollowers();
+    const state = control.encodeForEntryHosts();
     this.#send({ case: "state", value: { index, state } });
   }
 
-  #sendCommand(followed: { index: number; bytes: Uint8Array }): void {
+  #sendCommand(command: { index: number; bytes: Uint8Array }): void {
     this.#send({
       case: "command",
-      value: { index: followed.index, command: followed.bytes },
+      value: { index: command.index, command: command.bytes },
     });
   }
 
@@ -189,7 +189,8 @@
       value: {
         leading: control.isLeading(monotonicMilliseconds()),
         leaderAddress: leaderAddress(),
-        // All followed commands up to this index were sent before this status.
+        // All commands for entry hosts up to this index were sent before this
+        // status.
         commitIndex: control.state.appliedIndex,
         term: control.node.term,
         memberId: control.node.id,
--- a/packages/daemon/src/control/follow_session.ts
+++ b/packages/daemon/src/control/follow_session.ts
@@ -16,18 +16,18 @@
 import type { SharedView } from "./shared_view.ts";
 
 /** A third of the 1,200 ms of silence after which a follower reconnects. */
-const HEARTBEAT_MILLISECONDS = 400;
+const HEARTBEAT_INTERVAL_MILLISECONDS = 400;
 /**
  * A follower silent for longer is dropped. Without this, the session of a
  * disconnected follower would be kept, and written to, forever.
  */
-const SILENCE_MILLISECONDS = 5_000;
+const SILENCE_TIMEOUT_MILLISECONDS = 5_000;
 
 /** The control host's side of one follower's stream. */
 export class FollowSession {
   readonly outgoing$ = new Subject<ControlUpdate>();
   #view: SharedView;
-  #receivedAt = monotonicMilliseconds();
+  #lastMessageAt = monotonicMilliseconds();
   #sentRoutingVersion = -1;
   #sentWeightVersions = new Map<string, number>();
   #subscriptions = new Subscription();
@@ -39,7 +39,7 @@
   }
 
   handleMessage(message: FollowerToControl): void {
-    this.#receivedAt = monotonicMilliseconds();
+    this.#lastMessageAt = monotonicMilliseconds();
     if (message.body.case === "hello") {
       this.#start(message.body.value);
     }
@@ -81,8 +81,8 @@
         this.#send({ case: "loads", value: { loads } })
       ),
     );
-    this.#followCrashes(isControl);
-    this.#followLimits(isControl, host);
+    this.#startSendingCrashes(isControl);
+    this.#startSendingLimits(isControl, host);
     this.#subscriptions.add(
       view.stateChanged$.subscribe(() => this.#sendChangedState()),
     );
@@ -94,7 +94,7 @@
     );
   }
 
-  #followCrashes(isControl: boolean): void {
+  #startSendingCrashes(isControl: boolean): void {
     const { crashes } = this.#view;
     const blames = crashes.currentBlames();
     if (blames !== undefined) this.#sendCrashes(blames);
@@ -106,7 +106,7 @@
     );
   }
 
-  #followLimits(isControl: boolean, host: string): void {
+  #startSendingLimits(isControl: boolean, host: string): void {
     const { limits } = this.#view;
     const send = (news: LimitNews | undefined) => {
       if (news !== undefined) this.#send({ case: "limits", value: news });
@@ -130,8 +130,12 @@
    */
   #checkHeartbeat(): void {
     const now = monotonicMilliseconds();
-    if (now - this.#receivedAt > SILENCE_MILLISECONDS) return this.close();
-    if (now - this.#sentAt >= HEARTBEAT_MILLISECONDS) this.#sendHeartbeat();
+    if (
+      now - this.#lastMessageAt > SILENCE_TIMEOUT_MILLISECONDS
+    ) return this.close();
+    if (
+      now - this.#sentAt >= HEARTBEAT_INTERVAL_MILLISECONDS
+    ) this.#sendHeartbeat();
   }
 
   #sendHeartbeat(): void {
--- a/packages/daemon/src/control/in_force_waiters.ts
+++ b/packages/daemon/src/control/in_force_waiters.ts
@@ -2,7 +2,10 @@
 
 type InForceWaiter = { index: number; settle: (result: InForce) => void };
 
-/** Changes whose sender waits until every live entry host has applied them. */
+/**
+ * Changes whose sender waits until every entry host with a lease has applied
+ * them.
+ */
 export class InForceWaiters {
   #waiters = new Set<InForceWaiter>();
 
@@ -26,10 +29,11 @@
   }
 
   /**
-   * Resolves the waiters whose index every live host has applied.
+   * Resolves the waiters whose index every entry host with a lease has
+   * applied.
    *
-   * @param appliedIndexes log index applied by each host with a live lease
-   * @param unleased hosts without a lease, which the result names
+   * @param appliedIndexes log index applied by each entry host with a lease
+   * @param unleased entry hosts without a lease, which the result names
    */
   settleApplied(appliedIndexes: Map<string, number>, unleased: string[]): void {
     if (this.#waiters.size === 0) return;
--- a/packages/daemon/src/control/peer_links.ts
+++ b/packages/daemon/src/control/peer_links.ts
@@ -45,9 +45,9 @@
 
   /**
    * Returns the link to a member, or a new one if it has not acknowledged
-   * anything for 500 ms. A stream whose other end is gone can stay open and
-   * drop what is written to it: when a member restarted, the others' responses
-   * went into such a stream, and the member did not lead for 4 s.
+   * anything for 500 ms. After a member restarts, the old stream to it can stay
+   * open and lose everything written to it. Without a new link, the other
+   * members' responses to it were lost, and it could not lead for 4 s.
    */
   #usableLink(address: string, now: number): Link | undefined {
     const link = this.#links.get(address);
--- a/packages/daemon/src/control/platform_services.ts
+++ b/packages/daemon/src/control/platform_services.ts
@@ -48,6 +48,10 @@
   #manifests: ManifestKeeper;
   #rollout: RolloutHub;
   #server: Closable | undefined;
+  /**
+   * Whether `ControlHost.isCaughtUp` was found true since this process started.
+   * Stays true when the leader is lost.
+   */
   #isCurrent = false;
   #publishedAddresses = "";
   #timer: NodeJS.Timeout | undefined;
@@ -166,7 +170,10 @@
     this.#options.log.info("blame-kept", { fingerprint, kept: isKept });
   }
 
-  /** Takes over what another control host received from servers and agents. */
+  /**
+   * Takes over what another control host received from backend servers,
+   * gateways and stagers.
+   */
   #handleUpdate({ body }: ControlUpdate): void {
     if (body.case === "backends") {
       this.view.addRemoteAnnouncements(body.value.backends.map(decodeBackend));
--- a/packages/daemon/src/control/shared_view.ts
+++ b/packages/daemon/src/control/shared_view.ts
@@ -19,18 +19,18 @@
 /** Five intervals of the slowest heartbeat; heartbeats can be seconds late. */
 const SILENCE_TIMEOUT_MILLISECONDS = 6_000;
 /**
- * Longer than a network partition can delay a heartbeat that a backend server
- * sent before its end.
+ * How long a backend server that is gone is remembered: longer than a network
+ * partition can delay a heartbeat that it sent before its end.
  */
-const END_RETENTION_MILLISECONDS = 60_000;
+const GONE_RETENTION_MILLISECONDS = 60_000;
 /** Older ends are no evidence against a request that is not blamed yet. */
 const SUSPICION_RETENTION_MILLISECONDS = 600_000;
 const EXPIRE_INTERVAL_MILLISECONDS = 500;
 /** Half of the 400 ms between heartbeats to a follower. */
 const HEARTBEAT_CHECK_MILLISECONDS = 200;
 /**
- * Shortest interval between load updates to followers; agents look at loads
- * half as often.
+ * Followers are sent changed loads at most once in this time. Stagers read them
+ * from the engines every 80 or 250 ms.
  */
 const LOAD_BATCH_MILLISECONDS = 100;
 /** Many engines change at once while a version is loaded or after an outage. */
@@ -44,7 +44,11 @@
   replicatedState: () => ControlState;
   dataCentre: string;
   controlAddresses: () => string[];
-  /** Whether it includes all that was committed when this host started. */
+  /**
+   * True once this host has applied its log up to the first entry of a leader's
+   * term, and so all that was committed when this host started. Stays true
+   * after that, also while no leader is known.
+   */
   isCurrent: () => boolean;
 };
 
@@ -80,7 +84,7 @@
   #options: Options;
   #registry = new BackendRegistry({
     silenceTimeoutMilliseconds: SILENCE_TIMEOUT_MILLISECONDS,
-    goneRetentionMilliseconds: END_RETENTION_MILLISECONDS,
+    goneRetentionMilliseconds: GONE_RETENTION_MILLISECONDS,
   });
   /**
    * Weight versions that this process saw named, and those current when it
@@ -121,7 +125,7 @@
     ) batcher.stop();
   }
 
-  /** Notices of agents about their engines, in batches. */
+  /** Notices of stagers about their engines, in batches. */
   get engines$(): Observable<EngineNotice[]> {
     return this.#noticeBatcher.batches$;
   }
@@ -131,7 +135,7 @@
     return this.#loadBatcher.batches$;
   }
 
-  /** Those loads that agents reported to this host, in batches. */
+  /** Those loads that stagers reported to this host, in batches. */
   get localLoads$(): Observable<EngineLoad[]> {
     return this.#localLoadBatcher.batches$;
   }
@@ -251,7 +255,7 @@
     this.#noticeBatcher.add(notice);
   }
 
-  /** Adds a load that an agent reported to this host. */
+  /** Adds a load that a stager reported to this host. */
   addLocalLoad(load: EngineLoad): void {
     this.#localLoadBatcher.add(load);
     this.#loadBatcher.add(load);
--- a/packages/daemon/src/control/shared_view_test.ts
+++ b/packages/daemon/src/control/shared_view_test.ts
@@ -25,7 +25,7 @@
   });
 }
 
-// Hundreds of agents each report a load that changes several times a second.
+// Hundreds of stagers each report a load that changes several times a second.
 // Guards against one message per report: a follower gets few messages, each
 // with the latest load of every engine.
 test("followers get the latest loads of many engines in one batch", async () => {
@@ -48,7 +48,7 @@
   );
 });
 
-// Each agent reports its load to one control host only. Followers of any other
+// Each stager reports its load to one control host only. Followers of any other
 // control host must get it too, and no load may circulate among control hosts.
 test("loads from another control host reach followers but no control host", async () => {
   const view = openView();
--- a/packages/daemon/src/gateway/admit_call.ts
+++ b/packages/daemon/src/gateway/admit_call.ts
@@ -15,8 +15,8 @@
 
 const LINE_END_BYTES = 2;
 
-/** Backend servers know the queue ranks 0 to 9. */
-const MAX_RANK = 9;
+/** Lowest queue rank of a backend server; 0 is served first. */
+const MAX_QUEUE_RANK = 9;
 
 type RouteMatch = { route: Route; workspace: string | undefined; rank: number };
 
@@ -116,7 +116,7 @@
 }
 
 function priorityToRank(priority: number): number {
-  return Math.min(MAX_RANK, Math.max(0, Math.round(priority)));
+  return Math.min(MAX_QUEUE_RANK, Math.max(0, Math.round(priority)));
 }
 
 async function readRequestBody(
--- a/packages/daemon/src/gateway/answer_forwarder.ts
+++ b/packages/daemon/src/gateway/answer_forwarder.ts
@@ -6,8 +6,9 @@
 import { StreamRelay } from "./stream_relay.ts";
 
 /**
- * Most answers of plain services have some hundred bytes; larger ones than this
- * are streamed.
+ * An answer of a route that is not a stream is buffered up to this size, so
+ * that a broken one can be requested again; a larger one is forwarded as it
+ * arrives. Most of these answers have some hundred bytes.
  */
 const MAX_BUFFERED_BYTES = 65_536;
 
@@ -52,7 +53,8 @@
 
   /**
    * Forwards one answer except for its end. After "whole" the caller ends the
-   * response; after "broken" what was forwarded stands as it is.
+   * response; after "broken" the response is left open: the caller resumes it
+   * from another backend server or cuts it off.
    *
    * @param hasFailed called at the end: whether the connection failed.
    */
--- a/packages/daemon/src/gateway/attempt_outcome.ts
+++ b/packages/daemon/src/gateway/attempt_outcome.ts
@@ -7,7 +7,9 @@
   | { kind: "answer"; message: IncomingMessage; metadata: AnswerMetadata }
   /**
    * No byte of the request reached the backend server, or the backend server
-   * says that the request didn't run.
+   * says that the request didn't run. `isUnreachable`: whether no connection to
+   * the backend server was made, also because this host aborted the attempt
+   * before; false if the backend server refused the request.
    */
   | { kind: "not-run"; reason: string; isUnreachable: boolean }
   /** The request was sent and has no answer: it may have run. */
--- a/packages/daemon/src/gateway/backend_agent.ts
+++ b/packages/daemon/src/gateway/backend_agent.ts
@@ -2,15 +2,17 @@
 import type { Socket } from "node:net";
 
 /**
- * Fraction of a backend server's announced idle timeout for which a connection
- * is kept. A request sent just as the backend server closes the connection is
- * lost, and may not be repeated.
+ * Fraction of a connection's idle timeout after which this gateway closes it. A
+ * request sent just as the backend server closes the connection is lost, and
+ * may not be repeated. The idle timeout is the smaller of MAX_IDLE_MILLISECONDS
+ * and the time in the backend server's Keep-Alive header less 1 s, so a
+ * connection stays idle for at most 2.4 s.
  */
 const IDLE_TIMEOUT_FRACTION = 0.6;
 /**
- * Longest idle time of a connection that is reused. That a middlebox has
- * dropped a connection's state shows only when a request on it is lost, so few
- * such connections are kept.
+ * Longest idle timeout, before IDLE_TIMEOUT_FRACTION is applied. A network
+ * device may drop a connection's state while it is idle; the next request on it
+ * is then lost. A short limit makes that rare.
  */
 const MAX_IDLE_MILLISECONDS = 4_000;
 
@@ -43,8 +45,10 @@
   }
 
   override keepSocketAlive(socket: Socket): boolean {
-    // Sets the socket's timeout to the one that the backend server announced,
-    // if that is shorter.
+    // Sets the socket's timeout to the announced one less 1 s, if that is
+    // shorter. For an announced timeout of 1 s or less it sets the full
+    // MAX_IDLE_MILLISECONDS and returns false, against reuse; that result is
+    // ignored here.
     super.keepSocketAlive(socket);
     const announced = socket.timeout ?? MAX_IDLE_MILLISECONDS;
     socket.setTimeout(announced * IDLE_TIMEOUT_FRACTION);
--- a/packages/daemon/src/gateway/backend_pool.ts
+++ b/packages/daemon/src/gateway/backend_pool.ts
@@ -14,7 +14,7 @@
 import type { NamedLimits } from "./named_limits.ts";
 
 /**
- * Age of a load report on arrival: from an agent's query of its engine to the
+ * Age of a load report on arrival: from a stager's query of its engine to the
  * gateway that receives it.
  */
 const LOAD_REPORT_AGE_MILLISECONDS = 100;
@@ -46,8 +46,8 @@
   host: string;
   dataCentre: string;
   /**
-   * Time after the naming of a version from which no request may begin on an
-   * older one.
+   * Once a version has been named for this long, no request may begin on older
+   * weights.
    */
   weightsBoundMilliseconds: number;
   namedLimits: NamedLimits;
@@ -191,7 +191,8 @@
     const now = monotonicMilliseconds();
     const healthy = usable.filter(({ record }) => record.isAvailable(now));
     // With all of them ejected, as when a service has three and a fault hits
-    // their zone, an attempt that may fail is better than a certain refusal.
+    // their data centre, an attempt that may fail is better than a certain
+    // refusal.
     return chooseBackend(healthy.length > 0 ? healthy : usable, {
       dataCentre: this.#options.dataCentre,
       promptTokens: query.promptTokens,
@@ -275,9 +276,9 @@
   }
 
   /**
-   * Version that the engine serves; undefined for none. A notice of the agent
-   * beside the engine about this start takes precedence: it comes sooner than
-   * the backend server's next heartbeat.
+   * Version that the engine serves; undefined for none. A notice about this
+   * start from the stager on the engine's host takes precedence: it comes
+   * sooner than the backend server's next heartbeat.
    */
   #heldVersion(
     announcement: BackendAnnouncement,
--- a/packages/daemon/src/gateway/call_end.ts
+++ b/packages/daemon/src/gateway/call_end.ts
@@ -1,8 +1,14 @@
 /** How a request ended, for its log line. */
 export type CallEnd = {
   status: number;
-  /** Short description of what ended the request, for the log. */
+  /**
+   * For an answered request, the instance that answered; otherwise what ended
+   * the request. Logged as `reason` of `request-ended`.
+   */
   reason: string;
-  /** Whether a backend server may have run the request. */
+  /**
+   * Whether a backend server may have run the request. "answered" includes
+   * answers with an error status.
+   */
   outcome: "answered" | "not-run" | "unknown" | "client-left";
 };
--- a/packages/daemon/src/gateway/call_ending.ts
+++ b/packages/daemon/src/gateway/call_finisher.ts
@@ -23,8 +23,8 @@
   routing: CallRouting;
 };
 
-/** Ends one client request: sends its refusal, logs it and counts it. */
-export class CallEnding {
+/** Finishes one client request: sends its refusal, logs it and counts it. */
+export class CallFinisher {
   #options: Options;
   #isOver = false;
   #timer: NodeJS.Timeout | undefined;
--- a/packages/daemon/src/gateway/call_sender.ts
+++ b/packages/daemon/src/gateway/call_sender.ts
@@ -18,11 +18,13 @@
 };
 
 /**
- * Added to the rank of late requests, so that those of ranks 0 to 4 queue
- * behind all of these ranks that are in time and keep their own order.
+ * Added to a late request's rank, up to MAX_QUEUE_RANK. Late requests of ranks
+ * 0 to 4 get ranks 5 to 9: they are served after all timely requests of ranks 0
+ * to 4, and in the order of their own ranks.
  */
 const LATE_RANK_OFFSET = 5;
-const MAX_RANK = 9;
+/** Lowest queue rank of a backend server; 0 is served first. */
+const MAX_QUEUE_RANK = 9;
 
 /** Sends one request to backend servers and keeps track of those tried. */
 export class CallSender {
@@ -61,9 +63,9 @@
   }
 
   /**
-   * Sends the request to `candidate` and keeps that backend server's record. An
-   * answer stays counted as in flight: the caller takes it off at its end.
-   * Never rejects.
+   * Sends the request to `candidate` and updates that backend server's record.
+   * If the outcome is an answer, `record.inFlight` still counts the request:
+   * the caller decrements it when the answer has ended. Never rejects.
    */
   async send(
     candidate: BackendCandidate,
@@ -92,8 +94,13 @@
     return outcome;
   }
 
-  /** Counts a failure that was not this host's own doing. */
-  noteFailure(
+  /**
+   * Logs a failed attempt and counts it against its backend server, also if
+   * this gateway aborted the attempt. Ejects the backend server if no
+   * connection to it was made, or once its failure rate is too high. An attempt
+   * that the backend server refused as not run is only logged.
+   */
+  recordFailedAttempt(
     { announcement, record }: BackendCandidate,
     outcome: Exclude<AttemptOutcome, { kind: "answer" }>,
   ): void {
@@ -151,7 +158,8 @@
       body: call.body,
       id: call.id,
       format,
-      onMetadata: (metadata) => namedLimits.noteAnswer(announcement, metadata),
+      onMetadata: (metadata) =>
+        namedLimits.recordAnswer(announcement, metadata),
       headers: format.buildForwardHeaders(call.rawHeaders, {
         weightsVersion,
         resumesAfter,
@@ -159,7 +167,7 @@
         instance: announcement.instance,
         workspace: call.workspace,
         rank: placement.kind === "late"
-          ? Math.min(MAX_RANK, call.rank + LATE_RANK_OFFSET)
+          ? Math.min(MAX_QUEUE_RANK, call.rank + LATE_RANK_OFFSET)
           : call.rank,
       }),
     });
--- a/packages/daemon/src/gateway/control_feed.ts
+++ b/packages/daemon/src/gateway/control_feed.ts
@@ -18,7 +18,11 @@
 import type { FollowSet } from "../transport/follow_set.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-const FORGET_MILLISECONDS = 60_000;
+/**
+ * How long a backend server that is gone is remembered, so that a late update
+ * doesn't bring it back.
+ */
+const GONE_RETENTION_MILLISECONDS = 60_000;
 
 type BackendLookup = {
   live: readonly BackendAnnouncement[];
@@ -35,7 +39,7 @@
 /** State that the gateway has received from the control hosts. */
 export class ControlFeed {
   readonly backends$ = new Subject<BackendAnnouncement[]>();
-  /** Load of the engines, as read by the agents beside them. */
+  /** Load of the engines, as read by the stagers on their hosts. */
   readonly loads$ = new Subject<EngineLoad[]>();
   /** Requests that crash the backend servers that run them. */
   readonly crashes$ = new Subject<CrashNews>();
@@ -51,7 +55,7 @@
     // Control hosts report which backend servers are gone. A gateway cut off
     // from them keeps using those last known.
     silenceTimeoutMilliseconds: Infinity,
-    goneRetentionMilliseconds: FORGET_MILLISECONDS,
+    goneRetentionMilliseconds: GONE_RETENTION_MILLISECONDS,
   });
   #lookup: BackendLookup | undefined;
   #engines = new Map<string, EngineNotice>();
@@ -100,7 +104,8 @@
   }
 
   /**
-   * Latest notice of the agent beside an engine; undefined without an agent.
+   * Latest notice of the stager on the engine's host; undefined if none is
+   * connected.
    */
   engineAt(address: string): EngineNotice | undefined {
     return this.#engines.get(address);
--- a/packages/daemon/src/gateway/crash_reporter.ts
+++ b/packages/daemon/src/gateway/crash_reporter.ts
@@ -19,15 +19,17 @@
 import { fingerprintCall } from "./fingerprint_call.ts";
 
 /**
- * How long the gateway waits before it decides by itself. Control hosts get
- * reports of an end from all gateways and decide better; their verdict comes
- * sooner than this, unless the gateway is cut off from them.
+ * How long this gateway waits after a crash before it blames a request itself.
+ * Control hosts get the reports of all gateways, decide better, and send their
+ * blame within this time (they wait 120 ms); the gateway's own decision matters
+ * when it is cut off from them.
  */
 const SETTLE_MILLISECONDS = 500;
-const GATHER_MILLISECONDS = 50;
+const REPORT_BATCH_MILLISECONDS = 50;
 /** Amounts to 3 KB a second for each control host that is followed. */
 const MAX_REPORTS_PER_SECOND = 48;
-const MAX_SNAPSHOT_BLAMES = 64;
+/** A newly followed control host gets the latest blames, up to this number. */
+const MAX_INITIAL_BLAMES = 64;
 
 type InFlightCall = {
   call: AdmittedCall;
@@ -37,7 +39,7 @@
 
 type Options = {
   ended$: Observable<EndedServer>;
-  news$: Observable<CrashNews>;
+  updates$: Observable<CrashNews>;
   publish: (news: CrashNews) => void;
   log: EventLog;
 };
@@ -52,23 +54,24 @@
   #inFlight = new Set<InFlightCall>();
   #reports: CrashReport[] = [];
   #rateLimiter = new NewsRateLimiter(MAX_REPORTS_PER_SECOND);
-  #gatherTimer: NodeJS.Timeout | undefined;
+  #reportTimer: NodeJS.Timeout | undefined;
   #decideTimer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
     this.#options = options;
     options.ended$.subscribe((ended) => this.#recordEnd(ended));
-    options.news$.subscribe((news) => this.#applyNews(news));
+    options.updates$.subscribe((update) => this.#applyUpdate(update));
   }
 
   stop(): void {
-    clearTimeout(this.#gatherTimer);
+    clearTimeout(this.#reportTimer);
     clearTimeout(this.#decideTimer);
   }
 
   /**
    * Returns the blame for which a request must not be sent now, undefined if it
-   * may be. After the blame's term lets one request through as a trial.
+   * may be. Once the blame's term has ended, the first call returns undefined,
+   * so that one request runs as a trial.
    */
   checkBlame(call: AdmittedCall): Blame | undefined {
     if (!this.#ledger.hasBlamed) return undefined;
@@ -88,7 +91,7 @@
     return () => void this.#inFlight.delete(inFlightCall);
   }
 
-  noteSuccess(call: AdmittedCall): void {
+  recordSuccess(call: AdmittedCall): void {
     if (this.#ledger.suspectCount === 0 && !this.#ledger.hasBlamed) return;
     const fingerprint = fingerprintCall(call);
     if (!this.#ledger.clear(fingerprint)) return;
@@ -99,8 +102,8 @@
    * Latest blames, for a control host that this gateway begins to follow and
    * that may know nothing; undefined for none.
    */
-  blameSnapshot(): CrashNews | undefined {
-    const blames = this.#ledger.listBlames().slice(-MAX_SNAPSHOT_BLAMES);
+  currentBlames(): CrashNews | undefined {
+    const blames = this.#ledger.listBlames().slice(-MAX_INITIAL_BLAMES);
     return blames.length === 0 ? undefined : this.#encodeBlames(blames);
   }
 
@@ -110,15 +113,16 @@
 
   #recordEnd({ announcement, interrupted }: EndedServer): void {
     const now = monotonicMilliseconds();
+    // One start of one backend server.
     const incarnation = `${announcement.instance}@${announcement.bornAt}`;
     for (const { fingerprint, begunMilliseconds } of interrupted) {
       const report = { fingerprint, incarnation, begunMilliseconds };
       if (this.#ledger.recordReport(report, now)) this.#reports.push(report);
     }
     this.#scheduleDecision();
-    this.#gatherTimer ??= setTimeout(
+    this.#reportTimer ??= setTimeout(
       () => this.#publishReports(),
-      GATHER_MILLISECONDS,
+      REPORT_BATCH_MILLISECONDS,
     );
   }
 
@@ -127,7 +131,7 @@
    * with the most evidence go first.
    */
   #publishReports(): void {
-    this.#gatherTimer = undefined;
+    this.#reportTimer = undefined;
     const now = monotonicMilliseconds();
     const published = this.#reports
       .sort((left, right) =>
@@ -163,7 +167,7 @@
     }, SETTLE_MILLISECONDS);
   }
 
-  #applyNews({ blamed, cleared }: CrashNews): void {
+  #applyUpdate({ blamed, cleared }: CrashNews): void {
     const now = monotonicMilliseconds();
     for (const fingerprint of cleared) this.#ledger.clear(fingerprint);
     const learnt = blamed
--- a/packages/daemon/src/gateway/crash_watch.ts
+++ b/packages/daemon/src/gateway/crash_watch.ts
@@ -8,8 +8,12 @@
 import { fingerprintCall } from "./fingerprint_call.ts";
 
 /** When a process ends, all of its connections close within this time. */
-const GATHER_MILLISECONDS = 30;
-/** By then a backend server that ended is back, or known to be gone. */
+const REQUEST_BATCH_MILLISECONDS = 30;
+/**
+ * How long an end that could not be checked waits for a later start at the same
+ * address, which confirms it. By then a backend server that ended is back, or
+ * known to be gone.
+ */
 const PENDING_MILLISECONDS = 15_000;
 
 /** A request in flight whose connection a backend server closed. */
@@ -17,8 +21,9 @@
   call: AdmittedCall;
   announcement: BackendAnnouncement;
   /**
-   * When the request's answer began, monotonic milliseconds; undefined if it
-   * had not.
+   * When the backend server began to work on the request, monotonic
+   * milliseconds: for a stream, when its answer's head arrived (undefined
+   * before); for other routes, when the request was sent.
    */
   begunAt: number | undefined;
 };
@@ -32,15 +37,18 @@
 };
 
 /**
- * Distinguishes the end of a backend server's process from that of a
- * connection: the first interrupts all requests in flight there, the second
- * only one.
+ * Finds out whether a broken request was caused by the end of the backend
+ * server's process or only of one connection. When the process ends, all
+ * connections to it close and all requests in flight there are interrupted.
  */
 export class CrashWatch {
   readonly ended$ = new Subject<EndedServer>();
   #options: Options;
   #gathering = new Map<string, SuspectedEnd>();
-  /** Backend servers not yet known to have ended, by instance. */
+  /**
+   * Suspected ends whose backend server neither accepted nor refused the
+   * check's connection, by instance.
+   */
   #pending = new Map<string, SuspectedEnd>();
 
   constructor(options: Options) {
@@ -52,7 +60,7 @@
    * To be called for each request that a backend server, not this host, broke
    * off.
    */
-  noteBrokenRequest({ call, announcement, begunAt }: BrokenRequest): void {
+  recordBrokenRequest({ call, announcement, begunAt }: BrokenRequest): void {
     const now = monotonicMilliseconds();
     const begunMilliseconds = begunAt === undefined ? undefined : now - begunAt;
     const fingerprint = fingerprintCall(call);
@@ -61,7 +69,7 @@
     if (known !== undefined) return void known.interrupted.push(interrupted);
     const suspected = { announcement, interrupted: [interrupted], at: now };
     this.#gathering.set(announcement.instance, suspected);
-    setTimeout(() => this.#checkEnded(suspected), GATHER_MILLISECONDS);
+    setTimeout(() => this.#checkEnded(suspected), REQUEST_BATCH_MILLISECONDS);
   }
 
   async #checkEnded(suspected: SuspectedEnd): Promise<void> {
--- a/packages/daemon/src/gateway/ended_server.ts
+++ b/packages/daemon/src/gateway/ended_server.ts
@@ -6,8 +6,10 @@
   call: AdmittedCall;
   fingerprint: string;
   /**
-   * From the beginning of the request's answer to the end of the backend
-   * server; undefined if no answer had begun.
+   * Milliseconds from when the backend server began to work on the request to
+   * its end. For a stream, counted from the arrival of its answer's head;
+   * undefined if none had arrived. For other routes, counted from the sending
+   * of the request.
    */
   begunMilliseconds: number | undefined;
 };
--- a/packages/daemon/src/gateway/gateway_app.ts
+++ b/packages/daemon/src/gateway/gateway_app.ts
@@ -23,17 +23,26 @@
 import { SilenceWatch } from "./silence_watch.ts";
 import { StartHold } from "./start_hold.ts";
 
-/** Each control host has the whole state; three never fail together. */
+/**
+ * Each control host sends the whole state, so one of them is enough; three, so
+ * that the loss of two interrupts nothing. Three are not expected to fail
+ * together.
+ */
 const FOLLOWED_CONTROL_HOSTS = 3;
 /** Retries that one host may save up for a burst of failures. */
 const MAX_SAVED_RETRIES = 8;
 const HOUSEKEEPING_INTERVAL_MILLISECONDS = 500;
 /**
- * Two failed health checks of the load balancer, a second apart, and a margin.
+ * How long a stopping gateway goes on accepting connections while its readiness
+ * check fails. The load balancer needs two failed checks, a second apart; the
+ * rest is a margin.
  */
 const BALANCER_NOTICE_MILLISECONDS = 3_000;
 const DRAIN_POLL_MILLISECONDS = 50;
-/** Kept back from the grace time, after which the process is killed. */
+/**
+ * The stop ends this long before the end of the grace time, after which the
+ * process is killed.
+ */
 const GRACE_MARGIN_MILLISECONDS = 400;
 
 type Options = {
@@ -70,7 +79,7 @@
       clients,
       log,
       initialUpdate: () => {
-        const value = this.#context.crashes.blameSnapshot();
+        const value = this.#context.crashes.currentBlames();
         return value && { case: "crashes", value };
       },
     });
@@ -84,7 +93,7 @@
       configuredAt: () => feed.configuredAt,
       isStopping,
     });
-    feed.updates$.subscribe(() => startHold.noteNews());
+    feed.updates$.subscribe(() => startHold.wakeHeldRequests());
     const connections = new BackendConnections();
     const crashWatch = new CrashWatch({
       hasOpenConnection: (address) => connections.hasOpen(address),
@@ -94,7 +103,7 @@
     const namedLimits = new NamedLimits({
       host: settings.name,
       backends$: feed.backends$,
-      news$: feed.limits$,
+      updates$: feed.limits$,
       publish: (value) => this.#followSet.broadcast({ case: "limits", value }),
       random: Math.random,
       log,
@@ -123,7 +132,7 @@
       crashWatch,
       crashes: new CrashReporter({
         ended$: crashWatch.ended$,
-        news$: feed.crashes$,
+        updates$: feed.crashes$,
         publish: (value) =>
           this.#followSet.broadcast({ case: "crashes", value }),
         log,
@@ -154,7 +163,10 @@
     return await listen(this.#readyServer, ready_listen);
   }
 
-  /** Takes over the control hosts that the new settings name. */
+  /**
+   * Replaces the control hosts' addresses by those in the new settings; an
+   * empty list is ignored.
+   */
   reload(settings: Settings): void {
     this.#followSet.setSeeds(settings.gateway?.control_hosts ?? []);
   }
--- a/packages/daemon/src/gateway/gateway_call.ts
+++ b/packages/daemon/src/gateway/gateway_call.ts
@@ -6,7 +6,7 @@
 import type { AdmittedCall } from "./admitted_call.ts";
 import { AnswerForwarder } from "./answer_forwarder.ts";
 import type { AttemptOutcome } from "./attempt_outcome.ts";
-import { CallEnding } from "./call_ending.ts";
+import { CallFinisher } from "./call_finisher.ts";
 import { CallRouting } from "./call_routing.ts";
 import { CallSender } from "./call_sender.ts";
 import type { GatewayContext } from "./gateway_context.ts";
@@ -35,13 +35,13 @@
   #request: IncomingMessage;
   #response: ServerResponse;
   #startedAt = monotonicMilliseconds();
-  #ending: CallEnding;
+  #finisher: CallFinisher;
 
   constructor(options: Options) {
     this.#context = options.context;
     this.#request = options.request;
     this.#response = options.response;
-    this.#ending = new CallEnding(options);
+    this.#finisher = new CallFinisher(options);
   }
 
   /** Never rejects; every path ends the response. */
@@ -50,9 +50,9 @@
     const response = this.#response;
     await this.#holdUntilConfigured();
     const admitted = await admitCall(context, this.#request, this.#startedAt);
-    if (admitted.isErr) return this.#ending.refuse(undefined, admitted.error);
+    if (admitted.isErr) return this.#finisher.refuse(undefined, admitted.error);
     const call = admitted.value;
-    const isOver = () => this.#ending.isOver;
+    const isOver = () => this.#finisher.isOver;
     const sender = new CallSender(context, call);
     const forwarder = new AnswerForwarder({ context, call, response, isOver });
     const { tried } = sender;
@@ -71,7 +71,7 @@
     if (response.destroyed) return this.#handleDisconnect(active);
     response.once("close", () => this.#handleDisconnect(active));
     const left = call.deadlineAt - monotonicMilliseconds();
-    this.#ending.startTimer(left, () => this.#handleTimeout(active));
+    this.#finisher.startTimer(left, () => this.#handleTimeout(active));
     const stopWatching = context.crashes.watch({
       call,
       abort: (blame) => this.#abortBlamed(active, blame),
@@ -101,7 +101,7 @@
   async #sendUntilAnswered(active: ActiveCall): Promise<void> {
     const { sender, forwarder, routing, refusals } = active;
     let lastReason = "";
-    while (!this.#ending.isOver) {
+    while (!this.#finisher.isOver) {
       const blame = this.#context.crashes.checkBlame(active.call);
       if (blame !== undefined) return this.#refuseBlamed(active, blame);
       const candidate = routing.choose();
@@ -111,12 +111,15 @@
       }
       if (sender.tried.size > 0 && !routing.trySpendRetry()) {
         const reason = `${lastReason}; no further send is allowed`;
-        return this.#ending.refuse(active, refusals.build(reason, "busy"));
+        return this.#finisher.refuse(active, refusals.build(reason, "busy"));
       }
       const placement = routing.place(candidate);
       if (placement.kind === "refused") {
         const reason = "its backend servers have no room";
-        return this.#ending.refuse(active, refusals.build(reason, "overload"));
+        return this.#finisher.refuse(
+          active,
+          refusals.build(reason, "overload"),
+        );
       }
       const stopWatching = this.#watchSilence(active, candidate);
       const outcome = await sender.send(candidate, {
@@ -130,15 +133,18 @@
       lastReason = end;
       refusals.mayHaveRun ||= outcome.kind !== "not-run";
       if (refusals.mayHaveRun && !routing.isRetryable) {
-        return this.#ending.refuse(active, { status: 502, reason: lastReason });
+        return this.#finisher.refuse(active, {
+          status: 502,
+          reason: lastReason,
+        });
       }
     }
   }
 
   /**
-   * Waits for news after the gateway's start, as the request's backend servers
-   * may not be known yet. False if the request was sent before or may not be
-   * held.
+   * Waits for an update after the gateway's start, as the request's backend
+   * servers may not be known yet. False if the request was sent before or may
+   * not be held.
    */
   #waitForBackends({ call, sender }: ActiveCall): Promise<boolean> {
     if (sender.tried.size > 0) return Promise.resolve(false);
@@ -154,7 +160,7 @@
     candidate: BackendCandidate,
     outcome: AttemptOutcome,
   ): Promise<string> {
-    if (this.#ending.isOver) {
+    if (this.#finisher.isOver) {
       if (outcome.kind === "answer") candidate.record.inFlight -= 1;
       return "over";
     }
@@ -162,9 +168,9 @@
       const end = await this.#handleAnswer(active, candidate, outcome);
       return end === "over" ? end : "the answer broke off";
     }
-    active.sender.noteFailure(candidate, outcome);
+    active.sender.recordFailedAttempt(candidate, outcome);
     if (outcome.kind === "broken" && !outcome.isAborted) {
-      this.#noteBreak(active, candidate, undefined);
+      this.#recordBreak(active, candidate, undefined);
     }
     return outcome.reason;
   }
@@ -176,7 +182,7 @@
     return this.#context.silence.watch({
       isSilent: () => record.isSilent(monotonicMilliseconds()),
       canFailOver: () =>
-        !this.#ending.isOver && routing.canFailOver() &&
+        !this.#finisher.isOver && routing.canFailOver() &&
         this.#context.retries.hasRetries,
       abort: () => sender.abort("its backend server has fallen silent"),
     });
@@ -211,7 +217,7 @@
     routing.weightsVersion ??= metadata.weightsVersion;
     const end = await forwarder.forward(message, () => sender.hasFailed);
     record.inFlight -= 1;
-    if (this.#ending.isOver) return "over";
+    if (this.#finisher.isOver) return "over";
     if (end === "broken" || status >= 500) {
       record.recordFailure(monotonicMilliseconds());
     } else {
@@ -220,7 +226,7 @@
     }
     if (end === "broken") {
       if (!sender.isAborted) {
-        this.#noteBreak(active, { announcement, record }, now);
+        this.#recordBreak(active, { announcement, record }, now);
       }
       this.#context.log.info("answer-broken", {
         id: active.call.id,
@@ -231,13 +237,13 @@
       return "again";
     }
     this.#response.end();
-    if (isGood) this.#context.crashes.noteSuccess(active.call);
+    if (isGood) this.#context.crashes.recordSuccess(active.call);
     const reason = announcement.instance;
-    this.#ending.finish(active, { status, reason, outcome: "answered" });
+    this.#finisher.finish(active, { status, reason, outcome: "answered" });
     return "over";
   }
 
-  #noteBreak(
+  #recordBreak(
     { call, sender }: ActiveCall,
     { announcement }: BackendCandidate,
     headAt: number | undefined,
@@ -245,7 +251,11 @@
     // Only streams send their head when work on them begins. Other answers are
     // sent at the end: for these, work counts from the sending of the request.
     const begunAt = call.route.kind === "stream" ? headAt : sender.sentAt;
-    this.#context.crashWatch.noteBrokenRequest({ call, announcement, begunAt });
+    this.#context.crashWatch.recordBrokenRequest({
+      call,
+      announcement,
+      begunAt,
+    });
   }
 
   /**
@@ -253,28 +263,28 @@
    * on: it is too late to keep it off the backend server.
    */
   #abortBlamed(active: ActiveCall, blame: Blame): void {
-    if (this.#ending.isOver || active.forwarder.hasBegun) return;
+    if (this.#finisher.isOver || active.forwarder.hasBegun) return;
     active.refusals.mayHaveRun ||= active.sender.isSent;
     this.#refuseBlamed(active, blame);
     active.sender.abort("it ends what runs it");
   }
 
   #refuseBlamed(active: ActiveCall, blame: Blame): void {
-    this.#ending.refuse(active, active.refusals.buildBlamed(blame));
+    this.#finisher.refuse(active, active.refusals.buildBlamed(blame));
   }
 
   #handleTimeout(active: ActiveCall): void {
-    if (this.#ending.isOver) return;
+    if (this.#finisher.isOver) return;
     const isSent = active.refusals.mayHaveRun || active.sender.isSent;
     const reason = "the time for it is over";
-    this.#ending.refuse(active, { status: isSent ? 504 : 503, reason });
+    this.#finisher.refuse(active, { status: isSent ? 504 : 503, reason });
     active.sender.abort(reason);
   }
 
   #handleDisconnect(active: ActiveCall): void {
-    if (this.#ending.isOver) return;
+    if (this.#finisher.isOver) return;
     const reason = "the client closed its connection";
-    this.#ending.finish(active, {
+    this.#finisher.finish(active, {
       status: 499,
       reason,
       outcome: "client-left",
@@ -286,7 +296,7 @@
     const { refusals, routing } = active;
     const waitMilliseconds = routing.millisecondsUntilCapacity();
     if (waitMilliseconds !== undefined) {
-      return this.#ending.refuse(
+      return this.#finisher.refuse(
         active,
         refusals.buildLimited(waitMilliseconds),
       );
@@ -294,6 +304,6 @@
     const refusal = lastReason === ""
       ? refusals.build("no backend server takes it now", "outage")
       : refusals.build(lastReason, "busy");
-    this.#ending.refuse(active, refusal);
+    this.#finisher.refuse(active, refusal);
   }
 }
--- a/packages/daemon/src/gateway/gateway_server.ts
+++ b/packages/daemon/src/gateway/gateway_server.ts
@@ -15,8 +15,9 @@
 const DEFAULT_HEADER_TIMEOUT_MILLISECONDS = 3_000;
 const DEFAULT_IDLE_TIMEOUT_MILLISECONDS = 15_000;
 /**
- * More than any configuration allows. The configured limit is checked once the
- * head was read: the parser's own can't be changed while the server listens.
+ * Limit of the HTTP parser; a larger `maxHeaderBytes` in the configuration has
+ * no effect. The configured limit is checked once the head was read, as the
+ * parser's limit can't be changed while the server listens.
  */
 const MAX_HEADER_BYTES = 65_536;
 /** A request that takes longer to arrive is of no use to its client. */
--- a/packages/daemon/src/gateway/named_limits.ts
+++ b/packages/daemon/src/gateway/named_limits.ts
@@ -15,28 +15,32 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
 /**
- * Demands are published several times within the time that other hosts take to
- * grow into the part that this host gave up.
+ * Interval at which this gateway sends its changed demands to control hosts: a
+ * fraction of the 1 s after which other hosts use the part that this host gave
+ * up.
  */
 const PUBLISH_INTERVAL_MILLISECONDS = 250;
-/** A part falls for who is silent for twice as long. */
+/**
+ * Unchanged demands are published again after this time. A control host ignores
+ * the demand of a gateway from which none has arrived for 2.5 s.
+ */
 const REFRESH_MILLISECONDS = 1_000;
 /** Amounts to 3 KB a second for each control host that is followed. */
 const MAX_DEMANDS_PER_SECOND = 40;
 /** The end of a limit is repeated for this long, in case a message is lost. */
 const END_NOTICE_MILLISECONDS = 3_000;
 /**
- * The end of a limit is remembered for this long, so that late news doesn't
+ * The end of a limit is remembered for this long, so that a late update doesn't
  * restore the limit.
  */
-const FORGET_MILLISECONDS = 60_000;
+const ENDED_LIMIT_RETENTION_MILLISECONDS = 60_000;
 
 type TrackedLimit = { limit: NamedLimit; bucket: LimitPartBucket | undefined };
 
 type Options = {
   host: string;
   backends$: Observable<BackendAnnouncement[]>;
-  news$: Observable<LimitNews>;
+  updates$: Observable<LimitNews>;
   publish: (news: LimitNews) => void;
   log: EventLog;
   random: () => number;
@@ -44,11 +48,12 @@
 
 /**
  * Keeps this host within its part of the limits that overloaded backend servers
- * announce, and reports its demand for these servers to control hosts.
+ * announce, and sends control hosts the requests per second that it would send
+ * to each of these servers.
  */
 export class NamedLimits {
   #options: Options;
-  /** By incarnation: one start of one backend server. */
+  /** By incarnation, as `incarnationOf` returns it. */
   #tracked = new Map<string, TrackedLimit>();
   #due = new DueNewsSelector({
     refreshMilliseconds: REFRESH_MILLISECONDS,
@@ -61,7 +66,7 @@
     options.backends$.subscribe((changed) =>
       this.#dropEndedIncarnations(changed)
     );
-    options.news$.subscribe((news) => this.#applyNews(news));
+    options.updates$.subscribe((update) => this.#applyUpdate(update));
   }
 
   stop(): void {
@@ -72,7 +77,7 @@
    * Records the limit that an answer names. A signed answer without one ends
    * the known limit.
    */
-  noteAnswer(
+  recordAnswer(
     announcement: BackendAnnouncement,
     metadata: AnswerMetadata,
   ): void {
@@ -151,7 +156,7 @@
     return this.#tracked.get(incarnationOf(announcement))?.bucket;
   }
 
-  #applyNews({ parts }: LimitNews): void {
+  #applyUpdate({ parts }: LimitNews): void {
     const now = monotonicMilliseconds();
     for (const assignment of parts) {
       const limit = decodeLimit(assignment, now);
@@ -202,7 +207,7 @@
     const now = monotonicMilliseconds();
     for (const [incarnation, { limit, bucket }] of [...this.#tracked]) {
       const isOver = bucket === undefined &&
-        now - limit.announcedAt > FORGET_MILLISECONDS;
+        now - limit.announcedAt > ENDED_LIMIT_RETENTION_MILLISECONDS;
       if (isOver) this.#tracked.delete(incarnation);
     }
     if (this.#tracked.size === 0) {
@@ -244,6 +249,7 @@
   }
 }
 
+/** Identifies one start of one backend server: `instance@bornAt`. */
 function incarnationOf({ instance, bornAt }: BackendAnnouncement): string {
   return `${instance}@${bornAt}`;
 }
--- a/packages/daemon/src/gateway/start_hold.ts
+++ b/packages/daemon/src/gateway/start_hold.ts
@@ -11,8 +11,8 @@
  * their state.
  */
 const SETTLE_MILLISECONDS = 1_500;
-/** News arrives in bursts of dozens; held requests are woken once a burst. */
-const GATHER_MILLISECONDS = 50;
+/** Updates arrive in bursts of dozens; held requests are woken once a burst. */
+const UPDATE_BATCH_MILLISECONDS = 50;
 /**
  * Requests that a host receives within the hold at several times its usual
  * load.
@@ -44,18 +44,21 @@
     this.#options = options;
   }
 
-  /** Wakes the held requests: news has arrived that may let them be routed. */
-  noteNews(): void {
+  /**
+   * Wakes the held requests after 50 ms: an update has arrived that may let
+   * them be routed.
+   */
+  wakeHeldRequests(): void {
     if (this.#held.size === 0) return;
     this.#timer ??= setTimeout(() => {
       this.#timer = undefined;
       for (const wake of [...this.#held]) wake();
-    }, GATHER_MILLISECONDS);
+    }, UPDATE_BATCH_MILLISECONDS);
   }
 
   /**
-   * Waits for news, or until the request has been held for the longest time.
-   * Returns false at once if the request may not be held any longer.
+   * Waits for an update, or until the request has been held for the longest
+   * time. Returns false at once if the request may not be held any longer.
    *
    * @param arrivedAt when the request arrived, monotonic milliseconds.
    */
--- a/packages/daemon/src/gateway/start_hold_test.ts
+++ b/packages/daemon/src/gateway/start_hold_test.ts
@@ -15,7 +15,7 @@
   });
   const waiting = hold.wait(monotonicMilliseconds());
   configuredAt = monotonicMilliseconds();
-  hold.noteNews();
+  hold.wakeHeldRequests();
   assert.equal(await waiting, true);
 });
 
@@ -46,6 +46,6 @@
   const since = monotonicMilliseconds();
   const held = Array.from({ length: 512 }, () => hold.wait(since));
   assert.equal(await hold.wait(since), false);
-  hold.noteNews();
+  hold.wakeHeldRequests();
   assert.deepEqual(new Set(await Promise.all(held)), new Set([true]));
 });
--- a/packages/daemon/src/platform/engine_report.ts
+++ b/packages/daemon/src/platform/engine_report.ts
@@ -5,7 +5,9 @@
   isBusy: boolean;
   /** Number of orders accepted since the engine started. */
   sequence: number;
+  /** Requests that the engine is processing. */
   running: number;
+  /** Requests that the engine has queued. */
   waiting: number;
   /** When the engine started, Unix milliseconds; 0 if it does not say. */
   bornAt: number;
--- a/packages/daemon/src/platform/model_engine.ts
+++ b/packages/daemon/src/platform/model_engine.ts
@@ -2,6 +2,10 @@
 import type { Result } from "true-myth";
 import type { EngineReport } from "./engine_report.ts";
 
+/**
+ * `begun`: the engine accepted the order; `in-effect`: it reported success at
+ * once; `refused`: any other answer.
+ */
 type LoadOutcome = "begun" | "in-effect" | "refused";
 
 /** The model engine on this host, which loads weights from its staging area. */
--- a/packages/daemon/src/platform/request_format.ts
+++ b/packages/daemon/src/platform/request_format.ts
@@ -8,13 +8,15 @@
 
 /** Reads and writes the headers of a platform's requests and answers. */
 export interface RequestFormat {
+  /** Reads the metadata in the headers of a client's request. */
   readRequest(headers: IncomingHttpHeaders): RequestMetadata;
   /**
-   * Returns the headers to send to a backend server: the client's, without
-   * hop-by-hop headers and those that only the system may set, and the
-   * system's.
+   * Returns the headers to send to a backend server: the client's headers
+   * without hop-by-hop headers and without those that only the system may set,
+   * and the ones built from `metadata`.
    */
   buildForwardHeaders(raw: RawHeaders, metadata: ForwardMetadata): RawHeaders;
+  /** Reads the metadata in the headers of a backend server's answer. */
   readAnswer(headers: IncomingHttpHeaders): AnswerMetadata;
   /** Returns the headers of a backend server to forward to the client. */
   filterAnswerHeaders(raw: RawHeaders): RawHeaders;
