--- a/packages/daemon/src/agent/agent_app.ts
+++ b/packages/daemon/src/agent/agent_app.ts
@@ -19,7 +19,7 @@
 import { ChunkFetcher } from "../spread/chunk_fetcher.ts";
 import { EngineClient } from "./engine_client.ts";
 import { EngineLoader } from "./engine_loader.ts";
-import { EntryLinks } from "../transport/entry_links.ts";
+import { RolloutLinks } from "../transport/rollout_links.ts";
 import { LinkPacer } from "../spread/link_pacer.ts";
 import { rangeStoreFormat } from "../spread/range_store_format.ts";
 import { SpreadClient } from "../spread/spread_client.ts";
@@ -43,12 +43,15 @@
 
 /**
  * The agent, a small process on the host of a backend server. It passes calls
- * on to the backend server, fetches model weights and has the engine load them.
+ * on to the backend server, fetches model weights and has the backend server
+ * load them. Where it is about weights, the backend server is called the
+ * engine.
  */
 export class AgentApp {
   #settings: Settings;
   #log: EventLog;
   #metrics: StatsD;
+  /** Id of this agent process. */
   #incarnation = randomUUID();
   #state = new AgentState();
   #cache = new WeightsCache();
@@ -56,7 +59,7 @@
   #server: AgentServer;
   #spread: SpreadClient;
   #loader: EngineLoader;
-  #links: EntryLinks;
+  #links: RolloutLinks;
   #targetNumber = 0;
   #wasSilent = true;
   #reportedLoad = "";
@@ -79,7 +82,7 @@
       state: this.#state,
       cache: this.#cache,
       linkPacer: new LinkPacer(agent.link_bytes_per_second),
-      regionBytesPerSecond: agent.region_bytes_per_second,
+      dataCentreBytesPerSecond: agent.region_bytes_per_second,
     });
     this.#spread = new SpreadClient({
       cache: this.#cache,
@@ -101,7 +104,7 @@
       log,
       weightsAddress: agent.listen,
     });
-    this.#links = new EntryLinks({
+    this.#links = new RolloutLinks({
       addresses: agent.entry_hosts,
       dataCentre: settings.data_centre,
       clients,
@@ -129,7 +132,11 @@
     return Result.ok(undefined);
   }
 
-  /** Takes no more calls, and ends once every answer was read to its end. */
+  /**
+   * Refuses new calls and waits at least `agent.drain_milliseconds`, then until
+   * no call is running or queued and no answer is being read. The answer of an
+   * ended call whose reader left early, or never came, does not delay the stop.
+   */
   async stop(): Promise<void> {
     this.#state.stop();
     this.#loader.stop();
@@ -149,10 +156,10 @@
     this.#links.incoming$.subscribe(({ message }) =>
       this.#handleMessage(message)
     );
-    this.#links.coordinatorChanged$.subscribe(() => this.#reportAllChunks());
+    this.#links.coordinatorChanged$.subscribe(() => this.#reportAllBlocks());
     this.#spread.changed$.subscribe((change) => {
       this.#links.broadcast((address) =>
-        this.#createChunkReport(address, change)
+        this.#createBlockReport(address, change)
       );
     });
     this.#loader.permitRequested$.subscribe((request) => {
@@ -205,7 +212,7 @@
     this.#log.info("weights-target", { version: target.version });
     this.#spread.setTarget(manifest, target.store);
     this.#loader.setTarget(target.version);
-    this.#reportAllChunks();
+    this.#reportAllBlocks();
   }
 
   #broadcastAnnouncement(): void {
@@ -235,22 +242,22 @@
     const announcement = this.#createAnnouncementMessage();
     return this.#spread.targetVersion === ""
       ? [announcement]
-      : [announcement, this.#createFullChunkReport(address)];
+      : [announcement, this.#createFullBlockReport(address)];
   }
 
-  #reportAllChunks(): void {
+  #reportAllBlocks(): void {
     if (this.#spread.targetVersion === "") return;
-    this.#links.broadcast((address) => this.#createFullChunkReport(address));
+    this.#links.broadcast((address) => this.#createFullBlockReport(address));
   }
 
-  #createFullChunkReport(address: string) {
+  #createFullBlockReport(address: string) {
     const { targetVersion } = this.#spread;
     const added = this.#cache.listCompleteBlocks(targetVersion);
     const change = { version: targetVersion, added, failed: [], whole: true };
-    return this.#createChunkReport(address, change);
+    return this.#createBlockReport(address, change);
   }
 
-  #createChunkReport(
+  #createBlockReport(
     address: string,
     change: {
       version: string;
--- a/packages/daemon/src/agent/agent_server.ts
+++ b/packages/daemon/src/agent/agent_server.ts
@@ -27,12 +27,13 @@
   /** Rate limiter of this host's network link. */
   linkPacer: LinkPacer;
   /** Limit of what is sent to each other data centre; 0 for no limit. */
-  regionBytesPerSecond: number;
+  dataCentreBytesPerSecond: number;
 };
 
 /**
  * The agent's HTTP server: receives the backend server's announcements, and
- * sends chunks to peers and weights to the engine.
+ * sends chunks to peers and weights to the engine, which is the same backend
+ * server.
  */
 export class AgentServer {
   #options: Options;
--- a/packages/daemon/src/agent/agent_state.ts
+++ b/packages/daemon/src/agent/agent_state.ts
@@ -17,6 +17,7 @@
   #stopping = false;
   #announcedAt = 0;
 
+  /** @param now Unix milliseconds. */
   recordAnnouncement(backend: BackendServer, now: number): void {
     const before = JSON.stringify(this.backend);
     const wasSilent = this.isSilent(now);
@@ -25,7 +26,11 @@
     if (wasSilent || before !== JSON.stringify(backend)) this.changed$.next();
   }
 
-  /** Whether the backend server has stopped announcing itself. */
+  /**
+   * Whether the backend server has stopped announcing itself.
+   *
+   * @param now Unix milliseconds.
+   */
   isSilent(now: number): boolean {
     return now - this.#announcedAt > SILENCE_TIMEOUT_MILLISECONDS;
   }
@@ -58,7 +63,11 @@
     return this.#stopping;
   }
 
-  /** Why calls are refused now; undefined while they are accepted. */
+  /**
+   * Why calls are refused now; undefined while they are accepted.
+   *
+   * @param now Unix milliseconds.
+   */
   refusalReason(now: number): string | undefined {
     if (this.#stopping) return "stopping";
     if (this.backend === undefined || this.isSilent(now)) {
--- a/packages/daemon/src/agent/backend_call.ts
+++ b/packages/daemon/src/agent/backend_call.ts
@@ -9,7 +9,7 @@
 
 const connections = new Agent({ keepAlive: false });
 
-type CallEnd =
+type BackendCallResult =
   | { kind: "answered" }
   /** No connection was made: the backend server surely did not see the call. */
   | { kind: "not-run"; reason: string }
@@ -51,7 +51,7 @@
     this.#version = state.servingVersion;
   }
 
-  run(): Promise<CallEnd> {
+  run(): Promise<BackendCallResult> {
     const { backend } = this.#state;
     const { body, path, contentType, requestId } = this.#request;
     return new Promise((resolve) => {
@@ -90,7 +90,7 @@
     });
   }
 
-  #handleResponse(response: IncomingMessage): Promise<CallEnd> {
+  #handleResponse(response: IncomingMessage): Promise<BackendCallResult> {
     this.#limit.setLimit(parseLimit(response.headers[LIMIT_HEADER]));
     const version = String(response.headers["engine-version"] ?? "");
     // The engine obeyed a load order that this agent did not give, as an engine
@@ -113,7 +113,7 @@
     return this.#readAnswer(response);
   }
 
-  #readAnswer(response: IncomingMessage): Promise<CallEnd> {
+  #readAnswer(response: IncomingMessage): Promise<BackendCallResult> {
     return new Promise((resolve) => {
       response.on("data", (bytes: Buffer) => this.#exchange.append(bytes));
       response.once("error", (error) => {
@@ -139,7 +139,7 @@
    * Passes on the end of the answer, unless the weights may have changed while
    * the engine gave it.
    */
-  async #finish(): Promise<CallEnd> {
+  async #finish(): Promise<BackendCallResult> {
     if (await this.#hasVersionChanged()) {
       return {
         kind: "failed",
--- a/packages/daemon/src/agent/backend_incarnations.ts
+++ b/packages/daemon/src/agent/backend_incarnations.ts
@@ -1,9 +1,13 @@
 import { probeProcessEnd } from "../transport/probe_process_end.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
-/** Numbers the incarnations of the backend server on an agent's host. */
+/**
+ * Makes ids for the incarnations (starts) of the backend server on an agent's
+ * host: the agent's own incarnation, "@", and the number of the backend
+ * server's ends that the agent has seen, the incarnation's own end included.
+ */
 export class BackendIncarnations {
-  /** The agent's own, as the backend server has none. */
+  /** Id of the agent process, as the backend server has no id of its own. */
   #incarnation: string;
   #endCount = 0;
   #endedAt = -Infinity;
--- a/packages/daemon/src/agent/call_runner.ts
+++ b/packages/daemon/src/agent/call_runner.ts
@@ -64,11 +64,15 @@
     };
   }
 
-  /** Nothing runs, waits, or is still being read. */
+  /** Whether no call is running or queued. */
   get isIdle(): boolean {
     return this.#running === 0 && this.#queue.length === 0;
   }
 
+  /**
+   * Whether every kept answer has ended and has no reader now. An answer that
+   * nobody ever read counts as delivered too.
+   */
   get isDelivered(): boolean {
     return [...this.#exchanges.values()].every((exchange) =>
       exchange.endedAt > 0 && exchange.unreadSince > 0
@@ -210,7 +214,10 @@
     else this.#queue.splice(next, 0, call);
   }
 
-  /** A call left waiting while the engine began a load goes elsewhere. */
+  /**
+   * Starts the next queued call. One that was cancelled while it waited is
+   * refused as not run.
+   */
   #startNext(): void {
     const next = this.#queue.shift();
     if (next === undefined) return;
--- a/packages/daemon/src/agent/create_announcement.ts
+++ b/packages/daemon/src/agent/create_announcement.ts
@@ -4,6 +4,8 @@
 /**
  * Creates an agent's announcement of itself and its backend server to entry
  * hosts. The backend server must have announced itself to the agent.
+ *
+ * @param incarnation id of this agent process.
  */
 export function createAnnouncement(
   settings: Settings,
--- a/packages/daemon/src/agent/engine_client.ts
+++ b/packages/daemon/src/agent/engine_client.ts
@@ -20,7 +20,10 @@
   fencingToken: number;
 };
 
-/** HTTP client of the engine on this host: orders loads, reads its state. */
+/**
+ * HTTP client of the engine, that is of the backend server on this host: orders
+ * loads and reads the engine's state.
+ */
 export class EngineClient {
   #address: () => string | undefined;
 
--- a/packages/daemon/src/agent/engine_loader.ts
+++ b/packages/daemon/src/agent/engine_loader.ts
@@ -88,8 +88,8 @@
     const { state, cache } = this.#options;
     const backend = state.backend;
     if (backend === undefined || !backend.uses_weights) return;
-    // No version that the engine has loaded is adopted before the control hosts
-    // have said which one is to be served.
+    // No version that the engine has loaded is adopted before an entry host has
+    // sent a target.
     if (this.#target === "" || state.isStopping) return;
     this.#steps += 1;
     if (this.#steps % STATE_CHECK_STEPS === 1) await this.#checkEngineState();
--- a/packages/daemon/src/control/platform_services.ts
+++ b/packages/daemon/src/control/platform_services.ts
@@ -11,7 +11,7 @@
 import type { ClientPool } from "../transport/client_pool.ts";
 import { decodeBackend } from "../transport/decode_backend.ts";
 import { FollowSet } from "../transport/follow_set.ts";
-import { ManifestKeeper } from "../rollout/manifest_keeper.ts";
+import { ManifestFetcher } from "../rollout/manifest_fetcher.ts";
 import { RolloutHub } from "../rollout/rollout_hub.ts";
 import { ControlOperationsHandler } from "./control_operations_handler.ts";
 import type { ControlHost } from "./control_host.ts";
@@ -45,7 +45,7 @@
   #options: Options;
   #operations: ControlOperationsHandler;
   #otherControlHosts: FollowSet;
-  #manifests: ManifestKeeper;
+  #manifests: ManifestFetcher;
   #rollout: RolloutHub;
   #server: Closable | undefined;
   #isCurrent = false;
@@ -70,7 +70,7 @@
       log,
       decodeRouting: platform.decodeRouting,
     });
-    this.#manifests = new ManifestKeeper({
+    this.#manifests = new ManifestFetcher({
       store: platform.weightStore,
       log,
       latestNamedVersion: (model) =>
--- a/packages/daemon/src/entry/calls/call_crash_detector.ts
+++ b/packages/daemon/src/entry/calls/call_crash_detector.ts
@@ -144,6 +144,7 @@
     control.propose({
       kind: "blame-request",
       ...fieldsToStore,
+      // The leader replaces this by its own time.
       at: Date.now(),
     });
   }
--- a/packages/daemon/src/entry/calls/outcome_from_claim.ts
+++ b/packages/daemon/src/entry/calls/outcome_from_claim.ts
@@ -16,6 +16,9 @@
       },
     };
   }
+  // UnrepeatableCall records an answer over its MAX_RECORDED_ANSWER_BYTES with
+  // neither content type nor body. Such an answer of any other status than 200
+  // is returned as an empty answer.
   if (claim.contentType === "" && claim.answer === "" && claim.status === 200) {
     return {
       kind: "failed",
--- a/packages/daemon/src/entry/calls/unrepeatable_call.ts
+++ b/packages/daemon/src/entry/calls/unrepeatable_call.ts
@@ -102,6 +102,7 @@
       backendServer: row.backendServer,
       incarnation: row.incarnation,
       requestId,
+      // The leader sets the time.
       at: 0,
     }, this.#remainingMilliseconds());
     if (reply.kind === "not-proposed") {
--- a/packages/daemon/src/entry/entry_app.ts
+++ b/packages/daemon/src/entry/entry_app.ts
@@ -39,12 +39,12 @@
 const REGISTRATION_RETRY_BASE_MILLISECONDS = 1_000;
 const DRAIN_POLL_MILLISECONDS = 25;
 const DEREGISTRATION_TIMEOUT_MILLISECONDS = 1_000;
-/** Longest wait during shutdown for a pause between requests. */
-const MAX_QUIET_WAIT_MILLISECONDS = 10_000;
+/** During a stop, the longest wait for 500 ms without a new request. */
+const MAX_WAIT_FOR_NO_REQUESTS_MILLISECONDS = 10_000;
 /**
  * Time after registration during which this host answers calls with 503. Longer
  * than any grant that was made before the leader reserved a guaranteed share
- * (floor) for this host.
+ * for this host.
  */
 const WARMUP_MILLISECONDS = 1_600;
 
@@ -75,6 +75,7 @@
   #calls: CallHandler;
   #server: PublicServer;
   #newestSessions = new Map<string, AgentSession>();
+  /** Id of this process of the entry host. */
   #incarnation = randomUUID();
   #registeredAt = Infinity;
   #stopping = false;
@@ -206,7 +207,7 @@
    * never pause on their keep-alive connections.
    */
   async #waitUntilDrained(): Promise<void> {
-    const until = Date.now() + MAX_QUIET_WAIT_MILLISECONDS;
+    const until = Date.now() + MAX_WAIT_FOR_NO_REQUESTS_MILLISECONDS;
     while (!this.#server.hasNoRecentRequest(Date.now()) && Date.now() < until) {
       await pause(DRAIN_POLL_MILLISECONDS);
     }
@@ -260,7 +261,7 @@
   /**
    * Registers this host with the leader. Retries until that succeeds or the
    * replicated tables show an earlier registration. A host that was never
-   * registered has no guaranteed share (floor) yet. Until the grants that were
+   * registered has no guaranteed share yet. Until the grants that were
    * made without it have expired, it must admit no calls.
    */
   async #register(): Promise<void> {
--- a/packages/daemon/src/entry/operators/operator_api.ts
+++ b/packages/daemon/src/entry/operators/operator_api.ts
@@ -234,6 +234,8 @@
 }
 
 function foundRow(current: boolean, row: unknown): Reply {
+  // Operators' commands find the word "none" in this text (change_contract.ts,
+  // publish_weights.ts).
   return row === undefined
     ? notFound("there is none under this name")
     : found({ current, row });
--- a/packages/daemon/src/entry/public_server.ts
+++ b/packages/daemon/src/entry/public_server.ts
@@ -58,7 +58,11 @@
     NetServer.prototype.close.call(this.#server);
   }
 
-  /** Whether no request has arrived for RECENT_REQUEST_MILLISECONDS. */
+  /**
+   * Whether no request has arrived for RECENT_REQUEST_MILLISECONDS.
+   *
+   * @param now Unix milliseconds.
+   */
   hasNoRecentRequest(now: number): boolean {
     return now - this.#lastRequestAt > RECENT_REQUEST_MILLISECONDS;
   }
--- a/packages/daemon/src/entry/sessions/agent_session.ts
+++ b/packages/daemon/src/entry/sessions/agent_session.ts
@@ -20,7 +20,7 @@
 
 const HEARTBEAT_INTERVAL_MILLISECONDS = 1_000;
 /** A session that receives no message for this long is closed. */
-const SILENCE_MILLISECONDS = 3_000;
+const SILENCE_TIMEOUT_MILLISECONDS = 3_000;
 
 type Options = {
   host: string;
@@ -43,7 +43,7 @@
   #options: Options;
   #announcement: Announcement | undefined;
   #subscriptions = new Subscription();
-  #heardAt = Date.now();
+  #lastMessageAt = Date.now();
   #sentTargetIndex = 0;
   #sentDrained = false;
   #timer: NodeJS.Timeout;
@@ -62,8 +62,8 @@
   }
 
   handleMessage(message: AgentToEntry): void {
-    this.#heardAt = Date.now();
-    this.#options.log.timeline.observe(this.#heardAt, {
+    this.#lastMessageAt = Date.now();
+    this.#options.log.timeline.observe(this.#lastMessageAt, {
       time: message.clockTime,
       counter: message.clockCounter,
     });
@@ -191,6 +191,7 @@
       version: request.version,
       wasServing: request.wasServing,
       live,
+      // The leader sets the time.
       at: 0,
     }, ({ version, fencingToken }) => {
       this.#send({ case: "permit", value: { version, fencingToken } });
@@ -230,11 +231,13 @@
 
   #updateHeardAt(): void {
     const row = this.#row;
-    if (row !== undefined) row.heardAt = this.#heardAt;
+    if (row !== undefined) row.heardAt = this.#lastMessageAt;
   }
 
   #sendHeartbeatOrClose(): void {
-    if (Date.now() - this.#heardAt > SILENCE_MILLISECONDS) return this.close();
+    if (
+      Date.now() - this.#lastMessageAt > SILENCE_TIMEOUT_MILLISECONDS
+    ) return this.close();
     const { control, host, dataCentre } = this.#options;
     const current = control.hasLease(Date.now());
     this.#send({ case: "heartbeat", value: { current, host, dataCentre } });
--- a/packages/daemon/src/entry/sessions/control_session.ts
+++ b/packages/daemon/src/entry/sessions/control_session.ts
@@ -64,7 +64,7 @@
   #leaderAddress = "";
   #controlHostAddress = "";
   #term = 0;
-  #heardAt = 0;
+  #lastMessageAt = 0;
   #connectedAt = 0;
   #disconnect = () => {};
   #allotmentSequence = 0;
@@ -106,10 +106,12 @@
   }
 
   /**
-   * Proposes the command again, to each new leader, until it is committed or
-   * `milliseconds` have passed. Every command is idempotent, so one whose
-   * outcome is unknown may be proposed again. An undefined command changes
-   * nothing; its commit confirms that the tables here are current.
+   * Sends the command to the leader until it is committed, `milliseconds` have
+   * passed, or the leader seems unreachable; each retry goes to the leader
+   * connected at that time. Every command is idempotent, so one whose outcome
+   * is unknown may be sent again. Without a command, the leader only confirms
+   * that it still leads; a "committed" reply then means that the tables here
+   * are current.
    */
   async propose(
     command: Command | undefined,
@@ -139,7 +141,7 @@
 
   /**
    * A host that has had no lease for a while is cut off from the leader. Its
-   * proposals fail at once instead of making callers wait for a leader that
+   * proposals are not retried, so that callers don't wait for a leader that
    * can't be reached.
    */
   #isLeaderLikelyReachable(): boolean {
@@ -188,7 +190,7 @@
     this.#connectedAt = Date.now();
     this.#outgoing = outgoing;
     this.#controlHostAddress = address;
-    this.#heardAt = Date.now();
+    this.#lastMessageAt = Date.now();
     const client = this.#options.clients.client(ControlService, address);
     const watchTimer = setInterval(() => {
       if (this.#shouldDisconnect()) abortController.abort();
@@ -214,7 +216,9 @@
    */
   #shouldDisconnect(): boolean {
     if (this.#stopped) return true;
-    if (Date.now() - this.#heardAt > SILENCE_TIMEOUT_MILLISECONDS) return true;
+    if (
+      Date.now() - this.#lastMessageAt > SILENCE_TIMEOUT_MILLISECONDS
+    ) return true;
     return !this.#isConnectedToLeader &&
       Date.now() - this.#connectedAt > NO_LEADER_TIMEOUT_MILLISECONDS;
   }
@@ -235,8 +239,8 @@
   }
 
   #handleMessage(message: ControlToEntry): void {
-    this.#heardAt = Date.now();
-    this.#options.log.timeline.observe(this.#heardAt, {
+    this.#lastMessageAt = Date.now();
+    this.#options.log.timeline.observe(this.#lastMessageAt, {
       time: message.clockTime,
       counter: message.clockCounter,
     });
--- a/packages/daemon/src/entry/sessions/limits_registry.ts
+++ b/packages/daemon/src/entry/sessions/limits_registry.ts
@@ -4,7 +4,11 @@
 
 /**
  * Holds one limiter per workspace, which enforces this entry host's share of
- * the workspace's contract.
+ * the workspace's contract. The leader allots this host a rate per workspace
+ * (allotment). The host admits requests at that rate until the grant ends, then
+ * at no more than its guaranteed share (floor), and at the guaranteed share
+ * once the cap has ended or while it has no allotment. All times are Unix
+ * milliseconds.
  */
 export class LimitsRegistry {
   #limiters = new Map<string, WorkspaceLimiter>();
--- a/packages/daemon/src/entry/sessions/proposal_reply.ts
+++ b/packages/daemon/src/entry/sessions/proposal_reply.ts
@@ -9,7 +9,10 @@
     inForce: boolean;
     hostsWithoutLease: string[];
   }
-  /** The command was not accepted into the log and will not be. */
+  /**
+   * The command was not accepted into the log and will not be; without a
+   * command, the leader did not confirm that it still leads.
+   */
   | { kind: "not-proposed" }
   /** The command may have been accepted into the log. */
   | { kind: "unknown" };
--- a/packages/daemon/src/entry/sessions/report_tracker.ts
+++ b/packages/daemon/src/entry/sessions/report_tracker.ts
@@ -5,7 +5,7 @@
  * Tracks when each report to the leader was sent and until when this host
  * holds its lease. The lease is counted from the sending of the latest
  * confirmed report, so that the lease ends here before the leader considers
- * this host gone.
+ * this host gone. All times are Unix milliseconds.
  */
 export class ReportTracker {
   #sequence = 0;
--- a/packages/daemon/src/log/line_writer.ts
+++ b/packages/daemon/src/log/line_writer.ts
@@ -1,10 +1,13 @@
 import { Buffer } from "node:buffer";
 import { write } from "node:fs";
 
-/** A few seconds of lines at the usual rate; more would only take memory. */
-const MAX_PENDING_BYTES = 262_144;
+/**
+ * A few seconds of lines at the usual rate; more would only take memory. In
+ * UTF-16 code units, as `String.length` counts.
+ */
+const MAX_PENDING_CHARACTERS = 262_144;
 /** Above this only warnings and errors are buffered: they report failures. */
-const MAX_PENDING_BYTES_FOR_USUAL = MAX_PENDING_BYTES / 2;
+const MAX_PENDING_CHARACTERS_FOR_USUAL = MAX_PENDING_CHARACTERS / 2;
 /** Delay before writing again to a reader that takes nothing at the moment. */
 const RETRY_DELAY_MILLISECONDS = 50;
 
@@ -21,7 +24,7 @@
 export class LineWriter {
   #descriptor: number;
   #pendingLines: string[] = [];
-  #pendingBytes = 0;
+  #pendingCharacters = 0;
   #droppedLines = { usual: 0, failure: 0 };
   #isWriting = false;
 
@@ -29,9 +32,9 @@
     this.#descriptor = descriptor;
   }
 
-  /** Length of the lines that the reader has not taken yet. */
-  get pendingBytes(): number {
-    return this.#pendingBytes;
+  /** Length of the lines that the reader has not taken yet, UTF-16 code units. */
+  get pendingCharacters(): number {
+    return this.#pendingCharacters;
   }
 
   /** Waits until all lines are written, at most `maxMilliseconds`. */
@@ -45,15 +48,15 @@
   }
 
   write(line: string, importance: Importance): void {
-    const maxBytes = importance === "failure"
-      ? MAX_PENDING_BYTES
-      : MAX_PENDING_BYTES_FOR_USUAL;
-    if (this.#pendingBytes + line.length > maxBytes) {
+    const maxCharacters = importance === "failure"
+      ? MAX_PENDING_CHARACTERS
+      : MAX_PENDING_CHARACTERS_FOR_USUAL;
+    if (this.#pendingCharacters + line.length > maxCharacters) {
       this.#droppedLines[importance] += 1;
       return;
     }
     this.#pendingLines.push(line);
-    this.#pendingBytes += line.length;
+    this.#pendingCharacters += line.length;
     this.#scheduleWrite();
   }
 
@@ -87,7 +90,7 @@
   }
 
   #finish(): void {
-    this.#pendingBytes = this.#pendingLines.reduce(
+    this.#pendingCharacters = this.#pendingLines.reduce(
       (sum, line) => sum + line.length,
       0,
     );
--- a/packages/daemon/src/log/line_writer_test.ts
+++ b/packages/daemon/src/log/line_writer_test.ts
@@ -28,7 +28,7 @@
   const writer = new LineWriter(descriptor);
   for (let line = 0; line < LINES; line += 1) writer.write(LINE, "usual");
   writer.write("event=failed\n", "failure");
-  assert.ok(writer.pendingBytes < 300_000, `${writer.pendingBytes}`);
+  assert.ok(writer.pendingCharacters < 300_000, `${writer.pendingCharacters}`);
   const buffer = Buffer.alloc(65_536);
   let text = "";
   while (!text.includes("lines-dropped") || !text.includes("event=failed")) {
--- a/packages/daemon/src/rollout/manifest_keeper.ts
+++ b/packages/daemon/src/rollout/manifest_fetcher.ts
@@ -27,7 +27,7 @@
  * Fetches and keeps the manifest of the version that each service's engines
  * are to serve.
  */
-export class ManifestKeeper {
+export class ManifestFetcher {
   readonly target$ = new Subject<ServiceTarget>();
   #options: Options;
   /** Latest confirmed target of each service, by service name. */
--- a/packages/daemon/src/rollout/rollout_hub.ts
+++ b/packages/daemon/src/rollout/rollout_hub.ts
@@ -13,7 +13,7 @@
 } from "@teaselrouter/messages/follow.ts";
 import type { EventLog } from "../log/event_log.ts";
 import { toAsyncIterable } from "../transport/to_async_iterable.ts";
-import type { ManifestKeeper } from "./manifest_keeper.ts";
+import type { ManifestFetcher } from "./manifest_fetcher.ts";
 import { SpreadCoordinator } from "./spread_coordinator.ts";
 import { StagerSession } from "./stager_session.ts";
 
@@ -30,7 +30,7 @@
   host: string;
   dataCentre: string;
   objective: SpreadObjective;
-  manifests: ManifestKeeper;
+  manifests: ManifestFetcher;
   log: EventLog;
   controlAddresses: () => string[];
   publishNotice: (notice: EngineNotice) => void;
--- a/packages/daemon/src/rollout/spread_coordinator.ts
+++ b/packages/daemon/src/rollout/spread_coordinator.ts
@@ -18,7 +18,7 @@
 const REPORT_BATCH_MILLISECONDS = 10;
 /**
  * Short, because a source that froze recovers within seconds and may hold
- * chunks that no other host has.
+ * blocks that no other host has.
  */
 const SOURCE_AVOIDANCE_MILLISECONDS = 1_500;
 const MAX_PEERS_PER_PLAN = 8;
@@ -35,7 +35,7 @@
 type Options = { dataCentre: string; policy: SpreadPolicy };
 
 /**
- * Plans chunk transfers to the hosts of one data centre, for the agents or
+ * Plans block transfers to the hosts of one data centre, for the agents or
  * stagers that chose this process as their coordinator. Its state consists
  * only of what they reported: a new coordinator starts from their next
  * reports.
@@ -47,7 +47,7 @@
   /** Reports on versions that this process doesn't know yet. */
   #deferred: { backendServer: string; report: ChunkReport }[] = [];
   #isPlanScheduled = false;
-  /** Runs while a host that follows the plans lacks chunks. */
+  /** Runs while a host that follows the plans lacks blocks. */
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
@@ -66,7 +66,8 @@
   addVersion(manifest: WeightsManifest): void {
     const version = versionName(manifest);
     if (this.#tables.has(version)) return;
-    // Hosts exchange whole blocks, so the plan treats a block as one chunk.
+    // Hosts exchange whole blocks: in SpreadTable, in plans and in chunk
+    // reports, "chunk" means a block.
     const blocks = new WeightBlocks(manifest);
     this.#tables.set(
       version,
@@ -117,12 +118,12 @@
       });
     }
     const now = monotonicMilliseconds();
-    for (const chunk of report.failed) {
+    for (const block of report.failed) {
       const until = now + SOURCE_AVOIDANCE_MILLISECONDS;
-      table.failTransfer(backendServer, chunk, { now, until });
+      table.failTransfer(backendServer, block, { now, until });
     }
-    for (const chunk of report.added) {
-      table.addChunk(backendServer, chunk, now);
+    for (const block of report.added) {
+      table.addChunk(backendServer, block, now);
     }
     table.host(backendServer)!.followsPlans = report.followsPlans;
     table.markResponsive(backendServer);
--- a/packages/daemon/src/rollout/stager_session.ts
+++ b/packages/daemon/src/rollout/stager_session.ts
@@ -17,7 +17,7 @@
 import { Subject, Subscription } from "rxjs";
 import type { EventLog } from "../log/event_log.ts";
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
-import type { ManifestKeeper } from "./manifest_keeper.ts";
+import type { ManifestFetcher } from "./manifest_fetcher.ts";
 import type { RolloutHub } from "./rollout_hub.ts";
 import type { ServiceTarget } from "./service_target.ts";
 
@@ -25,14 +25,14 @@
  * A stager drops the connection after 3,000 ms of silence; two heartbeats fit
  * into that time.
  */
-const HEARTBEAT_MILLISECONDS = 1_400;
+const HEARTBEAT_INTERVAL_MILLISECONDS = 1_400;
 const SILENCE_TIMEOUT_MILLISECONDS = 3_000;
 
 type Options = {
   host: string;
   dataCentre: string;
   hub: RolloutHub;
-  manifests: ManifestKeeper;
+  manifests: ManifestFetcher;
   log: EventLog;
   controlAddresses: () => string[];
   publishNotice: (notice: EngineNotice) => void;
@@ -57,7 +57,7 @@
     this.#options = options;
     this.#heartbeatTimer = setInterval(
       () => this.#sendHeartbeat(),
-      HEARTBEAT_MILLISECONDS,
+      HEARTBEAT_INTERVAL_MILLISECONDS,
     );
     this.#subscriptions.add(
       options.manifests.target$.subscribe((target) => this.#sendTarget(target)),
@@ -68,18 +68,20 @@
     if (this.#isClosed) return;
     this.#lastMessageAt = monotonicMilliseconds();
     const { body } = message;
-    if (body.case === "announcement") return this.#onAnnouncement(body.value);
+    if (
+      body.case === "announcement"
+    ) return this.#handleAnnouncement(body.value);
     if (this.announcement === undefined) return;
     const { hub } = this.#options;
     switch (body.case) {
       case "chunks":
         return hub.recordReport(this, body.value);
       case "permitRequest":
-        return this.#onPermitRequest(body.value);
+        return this.#handlePermitRequest(body.value);
       case "loadSettled":
         return hub.releasePermit(this);
       case "load":
-        return this.#onLoad(body.value);
+        return this.#handleLoad(body.value);
     }
   }
 
@@ -94,7 +96,7 @@
     this.#publishNotice({ agentGone: true });
   }
 
-  #onAnnouncement(announcement: Announcement): void {
+  #handleAnnouncement(announcement: Announcement): void {
     const isFirst = this.announcement === undefined;
     this.announcement = announcement;
     this.#publishNotice({ agentGone: false });
@@ -121,7 +123,7 @@
     }));
   }
 
-  #onLoad({ running, queued }: LoadReport): void {
+  #handleLoad({ running, queued }: LoadReport): void {
     this.#options.publishLoad(create(EngineLoadSchema, {
       engineAddress: this.announcement!.engineAddress,
       running,
@@ -129,7 +131,7 @@
     }));
   }
 
-  #onPermitRequest({ version, wasServing }: PermitRequest): void {
+  #handlePermitRequest({ version, wasServing }: PermitRequest): void {
     const { hub } = this.#options;
     const now = monotonicMilliseconds();
     if (!hub.tryAcquirePermit(this, wasServing, now)) return;
--- a/packages/daemon/src/settings/settings_schema.ts
+++ b/packages/daemon/src/settings/settings_schema.ts
@@ -87,9 +87,13 @@
      */
     listen: addressSchema,
     entry_hosts: z.array(addressSchema).min(1),
-    /** Rate of this host's link; 0 for no limit. */
+    /** Rate of this host's link in each direction; 0 for no limit. */
     link_bytes_per_second: bytesPerSecond.default(0),
-    /** Sent to each other data centre: the link's rate by their number. */
+    /**
+     * Maximum rate at which this agent sends weights to each other data centre:
+     * the rate of the link to the other data centres, divided by their number.
+     * 0 for no limit.
+     */
     region_bytes_per_second: bytesPerSecond.default(0),
     /** Minimum time between announcing the stop and ending. */
     drain_milliseconds: z.number().int().min(0).default(2_000),
@@ -106,7 +110,7 @@
      */
     grace_milliseconds: z.number().int().min(1_000).default(8_000),
     /**
-     * Time after the naming of a version from which no request may start on
+     * Once a version has been named for this long, no request may begin on
      * older weights.
      */
     weights_bound_milliseconds: z.number().int().min(0).default(8_000),
@@ -122,7 +126,7 @@
     listen: addressSchema,
     control_hosts: z.array(addressSchema).min(1),
     /**
-     * Time after the naming of a version from which no request may start on
+     * Once a version has been named for this long, no request may begin on
      * older weights.
      */
     weights_bound_milliseconds: z.number().int().min(0).default(8_000),
--- a/packages/daemon/src/spread/chunk_sender.ts
+++ b/packages/daemon/src/spread/chunk_sender.ts
@@ -13,7 +13,7 @@
   /** Limits everything that this sender sends over the host's link. */
   linkPacer: LinkPacer;
   /** Rate limit towards each other data centre; 0 for no limit. */
-  regionBytesPerSecond: number;
+  dataCentreBytesPerSecond: number;
   /** Sent at once; a live response may have to wait behind it. */
   sliceBytes?: number;
 };
@@ -24,7 +24,7 @@
  */
 export class ChunkSender {
   #options: Options;
-  #regionPacers = new Map<string, LinkPacer>();
+  #dataCentrePacers = new Map<string, LinkPacer>();
 
   constructor(options: Options) {
     this.#options = options;
@@ -53,7 +53,7 @@
     const destination = typeof header === "string" ? header : dataCentre;
     const pacers = destination === dataCentre
       ? [linkPacer]
-      : [linkPacer, this.#getRegionPacer(destination)];
+      : [linkPacer, this.#getDataCentrePacer(destination)];
     response.writeHead(200, { "Content-Length": bytes.length });
     await this.#sendPaced(response, bytes, pacers);
     response.end();
@@ -72,11 +72,11 @@
     return found.length === numbers.length ? Buffer.concat(found) : undefined;
   }
 
-  #getRegionPacer(dataCentre: string): LinkPacer {
-    let pacer = this.#regionPacers.get(dataCentre);
+  #getDataCentrePacer(dataCentre: string): LinkPacer {
+    let pacer = this.#dataCentrePacers.get(dataCentre);
     if (pacer === undefined) {
-      pacer = new LinkPacer(this.#options.regionBytesPerSecond);
-      this.#regionPacers.set(dataCentre, pacer);
+      pacer = new LinkPacer(this.#options.dataCentreBytesPerSecond);
+      this.#dataCentrePacers.set(dataCentre, pacer);
     }
     return pacer;
   }
--- a/packages/daemon/src/spread/spread_client.ts
+++ b/packages/daemon/src/spread/spread_client.ts
@@ -15,6 +15,10 @@
 const CHECK_INTERVAL_MILLISECONDS = 250;
 const MAX_UNPLANNED_FETCHES = 2;
 const MAX_CONCURRENT_FETCHES = 16;
+/**
+ * Fetches without a plan don't use a source from which a fetch failed for so
+ * long, but use the origin if no other source is left. Plans ignore this.
+ */
 const SOURCE_AVOIDANCE_MILLISECONDS = 10_000;
 
 type Target = {
@@ -136,8 +140,8 @@
 
   /**
    * Whether to go on waiting for a plan. A connected coordinator may send no
-   * plan for a while, as when a chunk is delayed on a slow link: fetching the
-   * chunk from the origin then would cost a second copy. A coordinator that is
+   * plan for a while, as when a block is delayed on a slow link: fetching the
+   * block from the origin then would cost a second copy. A coordinator that is
    * not connected is given up much sooner.
    */
   #isWaitingForPlan(): boolean {
--- a/packages/daemon/src/stager/block_change_batcher_test.ts
+++ b/packages/daemon/src/stager/block_change_batcher_test.ts
@@ -12,18 +12,18 @@
   return batch;
 }
 
-test("96 chunks of a version that arrive together are reported in one message", async () => {
+test("96 blocks of a version that arrive together are reported in one message", async () => {
   // Guards against overloading control hosts: dozens of hosts report each of
-  // 96 chunks to every control host while engines wait for the plan.
+  // 96 blocks to every control host while engines wait for the plan.
   const changes = Array.from(
     { length: 96 },
-    (_, chunk) => ({ version: "m@2", added: [chunk], failed: [] }),
+    (_, block) => ({ version: "m@2", added: [block], failed: [] }),
   );
   const batch = await batchChanges(changes);
   assert.equal(batch.added.length, 96);
 });
 
-test("chunks of a superseded version are not reported as the next version's", async () => {
+test("blocks of a superseded version are not reported as the next version's", async () => {
   const batch = await batchChanges([
     { version: "m@2", added: [1], failed: [2] },
     { version: "m@3", added: [5], failed: [] },
--- a/packages/daemon/src/stager/staged_loader.ts
+++ b/packages/daemon/src/stager/staged_loader.ts
@@ -25,7 +25,11 @@
  * Until then it may still receive some.
  */
 const NOTICE_PROPAGATION_MILLISECONDS = 60;
-/** An engine usually finishes its running requests within this time. */
+/**
+ * The longest wait, from when the engine stops accepting requests, for its
+ * running and queued requests to end. The load is ordered after it even if some
+ * are left; an engine usually finishes its running requests sooner.
+ */
 const MAX_DRAIN_MILLISECONDS = 1_500;
 /** Staged weights that were verified longer ago are verified once more. */
 const VERIFICATION_VALID_MILLISECONDS = 2_000;
@@ -35,7 +39,7 @@
   cache: WeightsCache;
   log: EventLog;
   /**
-   * From this long after a version is named, no request may begin on older
+   * Once a version has been named for this long, no request may begin on older
    * weights.
    */
   weightsBoundMilliseconds: number;
@@ -71,11 +75,9 @@
   #servingVersion = "";
   #isAccepting = true;
   #bornAt = 0;
-  /**
-   * For which version, and since when, the engine accepts no new requests;
-   * monotonic milliseconds.
-   */
+  /** Version for which the engine was last stopped from accepting requests. */
   #drainingFor = "";
+  /** When the engine was stopped for `#drainingFor`, monotonic milliseconds. */
   #drainingSince = 0;
   #isStopped = false;
 
@@ -188,7 +190,11 @@
     this.changed$.next();
   }
 
-  #unusedAt({ model, since }: LoadTarget, serving: number): number {
+  /**
+   * Returns from when gateways send no requests to the weights that the engine
+   * serves, monotonic milliseconds.
+   */
+  #findUnusedAt({ model, since }: LoadTarget, serving: number): number {
     const { namedVersions, weightsBoundMilliseconds } = this.#options;
     const supersededAt = Math.min(
       since,
@@ -204,7 +210,9 @@
    * one whose last chunks don't arrive, the engine keeps serving.
    */
   #mayStopServing(target: LoadTarget, serving: number): boolean {
-    if (monotonicMilliseconds() > this.#unusedAt(target, serving)) return true;
+    if (
+      monotonicMilliseconds() > this.#findUnusedAt(target, serving)
+    ) return true;
     if (!this.#arrival.isNearlyComplete(target.version, target.since)) {
       return false;
     }
@@ -269,7 +277,7 @@
   async #waitForDrain(target: LoadTarget, serving: number): Promise<void> {
     const until = Math.min(
       this.#drainingSince + MAX_DRAIN_MILLISECONDS,
-      this.#unusedAt(target, serving),
+      this.#findUnusedAt(target, serving),
     );
     await pause(NOTICE_PROPAGATION_MILLISECONDS);
     while (monotonicMilliseconds() < until && this.#target === target) {
--- a/packages/daemon/src/stager/stager_app.ts
+++ b/packages/daemon/src/stager/stager_app.ts
@@ -14,7 +14,7 @@
 import type { Result } from "true-myth";
 import { ChunkFetcher } from "../spread/chunk_fetcher.ts";
 import { ChunkSender } from "../spread/chunk_sender.ts";
-import { EntryLinks } from "../transport/entry_links.ts";
+import { RolloutLinks } from "../transport/rollout_links.ts";
 import { LinkPacer } from "../spread/link_pacer.ts";
 import { SpreadClient } from "../spread/spread_client.ts";
 import { WeightsCache } from "../spread/weights_cache.ts";
@@ -53,9 +53,9 @@
  */
 const COORDINATOR_BATCH_MILLISECONDS = 20;
 /**
- * The other control hosts need the reports less urgently: to fetch a chunk
- * across regions, once for each chunk, and to take over planning, which is
- * rare.
+ * Control hosts other than the coordinator need the reports less urgently: only
+ * to plan transfers between data centres, one for each block, and to take over
+ * planning when the coordinator is lost, which is rare.
  */
 const OTHERS_BATCH_MILLISECONDS = 250;
 const NANOSECONDS_PER_MICROSECOND = 1_000n;
@@ -74,11 +74,12 @@
  */
 export class StagerApp {
   #options: Options;
+  /** Id of this process of the stager. */
   #incarnation = randomUUID();
   #cache = new WeightsCache();
   #spread: SpreadClient;
   #loader: StagedLoader;
-  #links: EntryLinks;
+  #links: RolloutLinks;
   #server: Server;
   #target: { version: string; number: number } | undefined;
   #namedVersions = new NamedVersions();
@@ -108,7 +109,7 @@
       weightsBoundMilliseconds: stager.weights_bound_milliseconds,
       namedVersions: this.#namedVersions,
     });
-    this.#links = new EntryLinks({
+    this.#links = new RolloutLinks({
       addresses: stager.control_hosts,
       dataCentre: settings.data_centre,
       clients,
@@ -125,7 +126,7 @@
       dataCentre: settings.data_centre,
       cache: this.#cache,
       linkPacer: new LinkPacer(this.#chunkBytesPerSecond),
-      regionBytesPerSecond: 0,
+      dataCentreBytesPerSecond: 0,
       sliceBytes: this.#sliceBytes,
     });
     this.#server = createChunkServer({ chunkSender, log });
@@ -224,7 +225,7 @@
    * Sends a message that only one control host needs to receive: it forwards
    * the message to the others or decides alone.
    */
-  #sendToAnyControlHost(body: Parameters<EntryLinks["send"]>[1]): void {
+  #sendToAnyControlHost(body: Parameters<RolloutLinks["send"]>[1]): void {
     const address = this.#links.anyConnectedAddress;
     if (address !== undefined) this.#links.send(address, body);
   }
--- a/packages/daemon/src/transport/follow_set.ts
+++ b/packages/daemon/src/transport/follow_set.ts
@@ -9,9 +9,10 @@
 import type { FollowerUpdate } from "./follower_update.ts";
 
 /**
- * Several reviews fit into the silence timeout of a stream to a control host.
+ * How often the links are checked and replaced; several times within the
+ * silence timeout of a stream to a control host.
  */
-const REVIEW_INTERVAL_MILLISECONDS = 200;
+const UPDATE_INTERVAL_MILLISECONDS = 200;
 /**
  * A control host that has sent nothing for so long is replaced by another one,
  * if there is one.
@@ -64,10 +65,10 @@
   }
 
   start(): void {
-    this.#review();
+    this.#updateLinks();
     this.#timer = setInterval(
-      () => this.#review(),
-      REVIEW_INTERVAL_MILLISECONDS,
+      () => this.#updateLinks(),
+      UPDATE_INTERVAL_MILLISECONDS,
     );
   }
 
@@ -102,7 +103,7 @@
   setControlHosts(addresses: string[]): void {
     if (addresses.length === 0) return;
     this.#knownAddresses = addresses;
-    this.#review();
+    this.#updateLinks();
   }
 
   /**
@@ -130,10 +131,10 @@
     return [...new Set(all)].filter((address) => address !== selfAddress);
   }
 
-  #review(): void {
+  #updateLinks(): void {
     for (const { link } of this.#links.values()) link.abortIfSilent();
     const candidates = this.#candidates();
-    this.#closeUnknown(candidates);
+    this.#closeRemoved(candidates);
     this.#closeUnreachable(candidates.length);
     while (
       this.#links.size < this.#options.maxLinks && this.#mayOpenNextStream()
@@ -166,7 +167,7 @@
   }
 
   /** A control host that is no longer a member can only send outdated state. */
-  #closeUnknown(candidates: string[]): void {
+  #closeRemoved(candidates: string[]): void {
     for (const address of [...this.#links.keys()]) {
       if (!candidates.includes(address)) this.#close(address);
     }
--- a/packages/daemon/src/transport/entry_links.ts
+++ b/packages/daemon/src/transport/rollout_links.ts
@@ -34,9 +34,9 @@
   openedAt: number;
   /** Last message on the stream, or its opening; monotonic milliseconds. */
   lastMessageAt: number;
-  /** Name from the entry host's heartbeats; empty before the first one. */
+  /** Name from the host's heartbeats; empty before the first one. */
   host: string;
-  /** From the entry host's heartbeats. */
+  /** From the host's heartbeats. */
   dataCentre: string;
   /** The address has been removed; the link doesn't reconnect. */
   isRemoved: boolean;
@@ -70,26 +70,25 @@
   /** First messages on a new stream to `address`. */
   createInitialMessages: (address: string) => MessageBody[];
   /**
-   * Message to every entry host, asked for at each beat of 500 ms; undefined
+   * Message to every host, asked for at each beat of 500 ms; undefined
    * when nothing has changed.
    */
   createBeatMessage: () => MessageBody | undefined;
   /** While nothing changes, every how many beats a heartbeat is sent. */
   beatsPerHeartbeat: number;
   /**
-   * Whether an entry host of another data centre may be the coordinator while
+   * Whether a host of another data centre may be the coordinator while
    * none of this data centre is connected. False by default.
    */
   allowsRemoteCoordinator?: boolean;
 };
 
 /**
- * An agent's streams to the entry hosts. Streams that end, or on which no
- * message arrives for too long, are opened again. A stager also uses this
- * class, for its streams to the control hosts: for it, "entry host" means
- * "control host".
+ * The streams of an agent to the entry hosts, or of a stager to the control
+ * hosts ("hosts" below). Streams that end, or on which no message arrives for
+ * too long, are opened again.
  */
-export class EntryLinks {
+export class RolloutLinks {
   readonly incoming$ = new Subject<
     { address: string; message: EntryToAgent }
   >();
@@ -145,7 +144,7 @@
   }
 
   /**
-   * Address of the entry host whose plans for fetching weights this agent
+   * Address of the host whose plans for fetching weights this agent or stager
    * follows; empty for none.
    */
   get coordinator(): string {
@@ -165,8 +164,8 @@
   }
 
   /**
-   * Sends a message on every stream. `bodyFor` returns undefined for an entry
-   * host that gets none.
+   * Sends a message on every stream. `bodyFor` returns undefined for a host
+   * that gets none.
    */
   broadcast(bodyFor: (address: string) => MessageBody | undefined): void {
     for (const { address, outgoing } of this.#links) {
@@ -176,7 +175,7 @@
   }
 
   /**
-   * Address for a message that any entry host can handle: the coordinator's, or
+   * Address for a message that any host can handle: the coordinator's, or
    * else one to which a stream is open or being opened; undefined for none.
    */
   get anyConnectedAddress(): string | undefined {
@@ -247,8 +246,8 @@
   }
 
   /**
-   * Rendezvous hashing by data centre: all its agents that reach the same entry
-   * hosts choose the same coordinator without any message between the entry
+   * Rendezvous hashing by data centre: all its agents or stagers that reach the
+   * same hosts choose the same coordinator without any message between the
    * hosts, and when it is lost they all choose the same next one.
    */
   #chooseCoordinator(): void {
--- a/packages/experiments/src/failures/agent_bench.ts
+++ b/packages/experiments/src/failures/agent_bench.ts
@@ -54,7 +54,7 @@
       state: this.state,
       cache: this.#cache,
       linkPacer: new LinkPacer(0),
-      regionBytesPerSecond: 0,
+      dataCentreBytesPerSecond: 0,
     });
     this.loader = new EngineLoader({
       state: this.state,
--- a/packages/operator/src/commands/change_contract.ts
+++ b/packages/operator/src/commands/change_contract.ts
@@ -46,6 +46,8 @@
 ): Promise<CommandResult> {
   const path = `contracts/${encodeURIComponent(change.workspace)}`;
   const current = await client.get<{ row: ContractRow }>(path);
+  // The entry host's detail for a missing row is "there is none under this
+  // name" (operator_api.ts).
   const isMissing = current.isErr && current.error.message.includes("none");
   if (current.isErr && !isMissing) return createFailureResult(current.error);
   const row = current.isOk ? current.value.row : undefined;
--- a/packages/operator/src/commands/publish_weights.ts
+++ b/packages/operator/src/commands/publish_weights.ts
@@ -31,6 +31,8 @@
 ): Promise<CommandResult> {
   const path = `weights/${encodeURIComponent(publication.service)}`;
   const current = await client.get<{ row: WeightsRow }>(path);
+  // The entry host's detail for a missing row is "there is none under this
+  // name" (operator_api.ts).
   const isMissing = current.isErr && current.error.message.includes("none");
   if (current.isErr && !isMissing) return createFailureResult(current.error);
   const currentNumber = current.isOk ? current.value.row.number : 0;
--- a/packages/operator/src/find_entry.ts
+++ b/packages/operator/src/find_entry.ts
@@ -10,10 +10,11 @@
  * Finds the URL of the entry host to call.
  *
  * The `--entry` option comes first, then TEASELROUTER_ENTRY, then the default.
- * Each may be a URL or the path of a settings file that contains
- * `entry = "http://..."`.
+ * Each may be a URL or the path of a TOML file with the key `entry`, as in
+ * `entry = "http://..."`. This is not the daemon's settings file, where `entry`
+ * is a table.
  *
- * @returns undefined if the settings file is missing or invalid.
+ * @returns undefined if the file is missing or invalid.
  */
 export function findEntry(option: string | undefined): string | undefined {
   const entry = option ?? process.env["TEASELROUTER_ENTRY"] ?? DEFAULT_ENTRY;
--- a/packages/storage/src/data_folder.ts
+++ b/packages/storage/src/data_folder.ts
@@ -64,7 +64,12 @@
 
   /**
    * Locks and opens the data folder of the member `name`. An empty folder gets
-   * a new member id. A torn record at the end of the log is cut off.
+   * a new member id. A torn record at the end of the log is cut off. An
+   * identity or snapshot file that can't be read, for whatever reason, counts
+   * as missing.
+   *
+   * @throws if the folder, its lock or another file can't be created, read,
+   *   truncated or synced. A lock that a full disk prevents is no failure.
    */
   static async open(
     folder: string,
@@ -100,8 +105,9 @@
     return this.#writer.append(batch);
   }
 
+  /** Size of the current log segment; earlier segments don't count. */
   get segmentBytes(): number {
-    return this.#writer.length;
+    return this.#writer.lengthBytes;
   }
 
   /**
@@ -109,6 +115,10 @@
    * that follow it. The order makes a crash at any point safe: the new segment
    * is complete before the snapshot makes the old segments unnecessary, and
    * the old segments are removed last.
+   *
+   * @returns "disk-full" or "sync-failed" if the new segment can't be written.
+   * @throws if a file can't be created, renamed, synced or removed, also when
+   *   the disk is full while the snapshot file is written.
    */
   async saveSnapshot(
     snapshot: SnapshotData,
--- a/packages/storage/src/log_writer.ts
+++ b/packages/storage/src/log_writer.ts
@@ -28,29 +28,30 @@
 /** Appends batches to a log segment; each is durable once it is synced. */
 export class LogWriter {
   #file: LogFile;
-  #length: number;
+  #lengthBytes: number;
 
-  constructor(file: LogFile, length: number) {
+  constructor(file: LogFile, lengthBytes: number) {
     this.#file = file;
-    this.#length = length;
+    this.#lengthBytes = lengthBytes;
   }
 
-  get length(): number {
-    return this.#length;
+  get lengthBytes(): number {
+    return this.#lengthBytes;
   }
 
   /**
    * Appends a batch and syncs the segment. After "disk-full" the segment is as
-   * before, and the batch may be retried. After "sync-failed" the process must
-   * stop: the kernel may have dropped pages that still read back as written, so
-   * no later write can be trusted.
+   * before, and the batch may be retried. After "sync-failed", which also
+   * stands for a write that failed for another reason than a full disk, the
+   * process must stop: the kernel may have dropped pages that still read back
+   * as written, so no later write can be trusted.
    */
   async append(batch: LogBatch): Promise<Result<void, StorageProblem>> {
     const bytes = Buffer.concat(toLogRecords(batch).map(recordCodec.encode));
     try {
-      await this.#file.write(bytes, this.#length);
+      await this.#file.write(bytes, this.#lengthBytes);
     } catch (error) {
-      await this.#file.truncate(this.#length).catch(() => undefined);
+      await this.#file.truncate(this.#lengthBytes).catch(() => undefined);
       const kind = isDiskFull(error) ? "disk-full" : "sync-failed";
       return Result.err({ kind, detail: String(error) });
     }
@@ -59,7 +60,7 @@
     } catch (error) {
       return Result.err({ kind: "sync-failed", detail: String(error) });
     }
-    this.#length += bytes.length;
+    this.#lengthBytes += bytes.length;
     return Result.ok(undefined);
   }
 
