--- a/packages/core/src/claims/claim_row.ts
+++ b/packages/core/src/claims/claim_row.ts
@@ -15,6 +15,9 @@
   contentType: string;
   /** Base64. */
   answer: string;
-  /** Leader's clock, milliseconds. */
+  /**
+   * The leader's wall-clock time when it proposed the command, Unix
+   * milliseconds.
+   */
   at: number;
 };
--- a/packages/core/src/consensus/member_log.ts
+++ b/packages/core/src/consensus/member_log.ts
@@ -141,6 +141,8 @@
     }
     this.#snapshot = snapshot;
     this.log.reset(snapshot.lastIndex, snapshot.lastTerm);
+    // Undoes no change, as none would be left. The earlier memberships stay in
+    // the history, and the snapshot's, recorded last, becomes the current one.
     this.membership.truncateFrom(0);
     this.membership.record(snapshot.lastIndex, snapshot.membership!);
     this.#commitIndex = snapshot.lastIndex;
--- a/packages/core/src/consensus/membership_history.ts
+++ b/packages/core/src/consensus/membership_history.ts
@@ -39,6 +39,10 @@
     this.#changes.push({ index, membership });
   }
 
+  /**
+   * Undoes the changes from log index `index` on. Does nothing if that would
+   * undo all of them.
+   */
   truncateFrom(index: number): void {
     const kept = this.#changes.filter((change) => change.index < index);
     if (kept.length > 0) this.#changes = kept;
--- a/packages/core/src/contracts/apply_contract_change.ts
+++ b/packages/core/src/contracts/apply_contract_change.ts
@@ -17,7 +17,7 @@
     command.expected,
     command.digest,
   );
-  if (decision.kind === "lost") {
+  if (decision.kind === "superseded") {
     return { accepted: false, reason: "number-replaced", value: current };
   }
   if (decision.kind === "repeated") return { accepted: true, value: current };
--- a/packages/core/src/contracts/contract_content_schema.ts
+++ b/packages/core/src/contracts/contract_content_schema.ts
@@ -12,7 +12,10 @@
   guaranteed_share: z.number().min(0).max(1).default(0.4),
   /** Deadline of requests that set none, milliseconds. */
   deadline_milliseconds: z.number().int().min(50).max(600_000).default(10_000),
-  /** Higher priorities go first when backend servers are busy. */
+  /**
+   * Calls with larger numbers go first when backend servers are busy: the
+   * opposite of the `priority` in a routing configuration.
+   */
   priority: z.number().int().min(0).max(9).default(5),
   maximum_body_bytes: z.number().int().min(1).max(8_388_608).default(1_048_576),
   /** Services this workspace may call. */
--- a/packages/core/src/crashes/apply_suspicion.ts
+++ b/packages/core/src/crashes/apply_suspicion.ts
@@ -5,8 +5,9 @@
 const MAX_SUSPECTED_REQUESTS = 256;
 
 /**
- * Stores in the replicated tables the crashes under a request that is not
- * blamed yet. At capacity, the oldest entry is evicted.
+ * Stores in the replicated tables the crashes during which a suspected request
+ * was in flight, replacing an earlier row of the request. At capacity, the
+ * oldest row is evicted.
  */
 export function applySuspicion(
   state: ControlState,
--- a/packages/core/src/crashes/blame.ts
+++ b/packages/core/src/crashes/blame.ts
@@ -7,8 +7,8 @@
   /** Backend server crashes attributed to the request that are known so far. */
   crashes: number;
   /**
-   * Backend server starts that ended in the latest of these crashes. They are
-   * not evidence against any other request.
+   * Incarnations, as in `CrashReport`, that ended in the latest of these
+   * crashes. These crashes are not evidence against any other request.
    */
   incarnations: string[];
   /** How long the request is refused after its latest crash. */
--- a/packages/core/src/crashes/crash_ledger.ts
+++ b/packages/core/src/crashes/crash_ledger.ts
@@ -30,7 +30,7 @@
    * Reports of one crash arrive from several hosts within this time. A suspect
    * is blamed only once this long has passed since its latest new crash.
    */
-  settleMilliseconds: number;
+  decisionDelayMilliseconds: number;
 };
 
 /**
@@ -84,7 +84,7 @@
   /** Blames the requests with sufficient evidence, and returns these blames. */
   blameSuspects(now: number): Blame[] {
     const newBlames: Blame[] = [];
-    for (const [fingerprint, evidence] of this.#settledSuspects(now)) {
+    for (const [fingerprint, evidence] of this.#decidableSuspects(now)) {
       // Blaming an earlier suspect took its crashes off the others' evidence.
       if (evidence.weight < CRASHES_TO_BLAME) continue;
       const { incarnations } = evidence;
@@ -117,9 +117,9 @@
    */
   mergeBlame(blame: Blame): boolean {
     const known = this.#blamed.get(blame.fingerprint);
-    const isNews = known === undefined || known.crashes < blame.crashes;
-    if (isNews) this.#recordBlame(blame);
-    return isNews;
+    const isNewer = known === undefined || known.crashes < blame.crashes;
+    if (isNewer) this.#recordBlame(blame);
+    return isNewer;
   }
 
   /**
@@ -137,7 +137,7 @@
   }
 
   /** Whether the request is refused now. Doesn't start a trial. */
-  isBlamed(fingerprint: string, now: number): boolean {
+  isRefused(fingerprint: string, now: number): boolean {
     const blame = this.#blamed.get(fingerprint);
     return blame !== undefined && now < blame.endsAt;
   }
@@ -190,11 +190,11 @@
     }
   }
 
-  #settledSuspects(now: number): [string, CrashEvidence][] {
+  #decidableSuspects(now: number): [string, CrashEvidence][] {
     return [...this.#suspects]
       .filter(([fingerprint, { weight, lastReportedAt }]) =>
         weight >= CRASHES_TO_BLAME &&
-        now - lastReportedAt >= this.#options.settleMilliseconds &&
+        now - lastReportedAt >= this.#options.decisionDelayMilliseconds &&
         !this.#blamed.has(fingerprint)
       )
       .sort(([, left], [, right]) =>
--- a/packages/core/src/crashes/crash_ledger_test.ts
+++ b/packages/core/src/crashes/crash_ledger_test.ts
@@ -10,7 +10,7 @@
 const RUNS = 300;
 
 function createLedger(): CrashLedger {
-  return new CrashLedger({ settleMilliseconds: SETTLE_MILLISECONDS });
+  return new CrashLedger({ decisionDelayMilliseconds: SETTLE_MILLISECONDS });
 }
 
 /** A report of the request at fault: its answer has just started. */
@@ -110,7 +110,7 @@
   ]);
   reportAll(ledger, both);
   assert.deepEqual(decideFingerprints(ledger).sort(), ["first", "second"]);
-  assert.equal(ledger.isBlamed("beside", MINUTE_MILLISECONDS), false);
+  assert.equal(ledger.isRefused("beside", MINUTE_MILLISECONDS), false);
 });
 
 // Guards against a flood of reports that exhausts a host's memory.
--- a/packages/core/src/crashes/crash_report.ts
+++ b/packages/core/src/crashes/crash_report.ts
@@ -5,7 +5,11 @@
    * one request.
    */
   fingerprint: string;
-  /** Identifies one start of one backend server. */
+  /**
+   * Identifies one start of one backend server: `instance@bornAt` in gateways;
+   * in reports of entry hosts, the incarnation of the agent's process and the
+   * number of backend server ends that the agent has detected.
+   */
   incarnation: string;
   /**
    * Time from the start of the request's answer to the crash; undefined if no
--- a/packages/core/src/crashes/suspected_request_row.ts
+++ b/packages/core/src/crashes/suspected_request_row.ts
@@ -1,6 +1,8 @@
 /**
- * A request under which two backend servers have crashed and that is not blamed
- * yet, as stored in the replicated tables.
+ * A request that was in flight at several crashes of backend servers, as stored
+ * in the replicated tables. The weight of its evidence was at least 2 when it
+ * was stored. The row stays after the request has been blamed, until a
+ * `lift-blame` command or its eviction.
  */
 export type SuspectedRequestRow = {
   fingerprint: string;
--- a/packages/core/src/gateway/answer_metadata.ts
+++ b/packages/core/src/gateway/answer_metadata.ts
@@ -13,7 +13,8 @@
   weightsVersion: number | undefined;
   /**
    * Requests per second that the backend server accepts from all hosts
-   * together; undefined for no limit.
+   * together; undefined if the response states no limit, which ends an earlier
+   * limit only if `isSigned`.
    */
   limitPerSecond: number | undefined;
   /** Requests running and waiting at the backend server, and its slots. */
--- a/packages/core/src/gateway/backend_record.ts
+++ b/packages/core/src/gateway/backend_record.ts
@@ -1,7 +1,7 @@
 type ReportedLoad = { running: number; waiting: number; slots: number };
 
 /** Maximum age of a load report on arrival. */
-const MAX_REPORT_DELAY_MILLISECONDS = 200;
+const SEND_TIME_RETENTION_MILLISECONDS = 200;
 /** Weight of the latest result in the moving average of failures. */
 const LATEST_RESULT_WEIGHT = 0.25;
 /** A backend server whose failure rate reaches this value is ejected. */
@@ -150,7 +150,7 @@
   recordSend(now: number): void {
     if (this.inFlight === 0) this.#busySince = now;
     this.#recentSendTimes = this.#recentSendTimes.filter((sentAt) =>
-      sentAt > now - MAX_REPORT_DELAY_MILLISECONDS
+      sentAt > now - SEND_TIME_RETENTION_MILLISECONDS
     );
     this.#recentSendTimes.push(now);
   }
--- a/packages/core/src/gateway/choose_backend.ts
+++ b/packages/core/src/gateway/choose_backend.ts
@@ -3,6 +3,7 @@
 
 type Request = {
   dataCentre: string;
+  /** Not part of the cost, as it is the same for every candidate. */
   promptTokens: number;
   engine: EngineDefinition | undefined;
   /** Instances of the home backend servers, which this host prefers. */
--- a/packages/core/src/gateway/forward_metadata.ts
+++ b/packages/core/src/gateway/forward_metadata.ts
@@ -16,7 +16,9 @@
   /** Id of the event after which the gateway resumes a broken stream. */
   resumesAfter: string | undefined;
   /**
-   * Priority in the backend server's queue, 0 first; undefined for the default.
+   * Priority in the backend server's queue: the `priority` of the routing
+   * configuration, rounded and bounded. 0 goes first; undefined for the
+   * default.
    */
   rank: number | undefined;
 };
--- a/packages/core/src/gateway/routing_configuration_schema.ts
+++ b/packages/core/src/gateway/routing_configuration_schema.ts
@@ -6,34 +6,49 @@
 
 const engineSchema = z.object({
   models: z.array(name),
-  /** Requests that one engine runs concurrently. */
+  /**
+   * Requests that one engine runs concurrently. Not used by teaselrouter, which
+   * uses the slots that each backend server announces.
+   */
   slots: count,
-  /** Context tokens that fit in an engine's memory beside the weights. */
+  /**
+   * Context tokens that fit in an engine's memory beside the weights. Not used
+   * by teaselrouter.
+   */
   contextTokens: z.number().min(0),
   /**
    * Chunks of one weight version; 0 if teaselrouter does not distribute the
    * service's weights.
    */
   weightChunks: count,
+  /** Not used by teaselrouter. */
   weightChunkBytes: count,
+  /** Fixed part of the duration of one decoding step. */
+  stepMilliseconds: milliseconds,
   /**
-   * Duration of one decoding step: a fixed part, and the parts added by each
-   * running request and by each thousand tokens of context.
+   * Part of a decoding step's duration that each running request adds. Not used
+   * by teaselrouter.
    */
-  stepMilliseconds: milliseconds,
   stepPerRequestMilliseconds: milliseconds,
+  /**
+   * Part of a decoding step's duration that each thousand tokens of context
+   * add. Not used by teaselrouter.
+   */
   stepPerThousandTokensMilliseconds: milliseconds,
   /** Prompt tokens that one engine prefills per second. */
   readTokensPerSecond: z.number().min(0),
-  /** Decoding steps between two checks of the queue. */
+  /** Decoding steps between two checks of the queue; together, one pass. */
   stepsPerPass: count,
-  /** Age of a load report's data. */
+  /** Age of a load report's data. Not used by teaselrouter. */
   reportLagMilliseconds: milliseconds,
 });
 
 const serviceSchema = z.object({
   name,
-  /** Connections that one backend server accepts from all callers together. */
+  /**
+   * Connections that one backend server accepts from all callers together. Not
+   * used by teaselrouter.
+   */
   maxConnections: count,
   engine: engineSchema.optional(),
   /** Present for the weight store, which serves no client requests. */
@@ -53,7 +68,7 @@
    * it does the response have its full value.
    */
   targetMilliseconds: milliseconds,
-  /** 0 is the highest priority. */
+  /** 0 is the highest priority: the opposite of a contract's `priority`. */
   priority: z.number(),
   targets: z.array(z.object({ service: name, weight: z.number().min(0) }))
     .min(1),
--- a/packages/core/src/limits/host_allotment_row.ts
+++ b/packages/core/src/limits/host_allotment_row.ts
@@ -1,6 +1,6 @@
 /**
- * An allotment that a host may still be using. Times are milliseconds of the
- * leader's clock.
+ * An allotment that a host may still be using. Times are monotonic milliseconds
+ * of the leader.
  */
 export type HostAllotmentRow = {
   sequence: number;
--- a/packages/core/src/limits/host_ceiling.ts
+++ b/packages/core/src/limits/host_ceiling.ts
@@ -22,8 +22,10 @@
   const isCapped = oldest?.confirmed === true && oldest.capUntil >= until;
   let ceiling = isCapped ? 0 : floor;
   for (const row of allotments) {
-    const held = row.grantUntil > now ? row.rate : Math.min(row.rate, floor);
-    ceiling = Math.max(ceiling, held);
+    const usableRate = row.grantUntil > now
+      ? row.rate
+      : Math.min(row.rate, floor);
+    ceiling = Math.max(ceiling, usableRate);
   }
   return ceiling;
 }
--- a/packages/core/src/limits/limit_allotter.ts
+++ b/packages/core/src/limits/limit_allotter.ts
@@ -168,7 +168,8 @@
         (this.#hosts.get(host)!.demands.get(workspace) ?? 0) * HEADROOM_FACTOR,
       ),
     }));
-    // What nobody asked for stays out, or each report would move it around.
+    // Both branches give `total`, so a rate that no host demands is divided
+    // equally among the live hosts.
     const totalDemand = demands.reduce((sum, demand) => sum + demand.rate, 0);
     const shares = divideByDemand(
       Math.max(0, totalDemand < total ? total : Math.min(total, totalDemand)),
--- a/packages/core/src/membership/backend_registry.ts
+++ b/packages/core/src/membership/backend_registry.ts
@@ -4,7 +4,7 @@
 /** Higher than the sequence of any announcement. */
 const LAST_SEQUENCE = Number.MAX_SAFE_INTEGER;
 
-type Entry = { announcement: BackendAnnouncement; heardAt: number };
+type Entry = { announcement: BackendAnnouncement; updatedAt: number };
 
 type Options = {
   /** Time without an announcement after which a backend server is gone. */
@@ -45,8 +45,8 @@
   }
 
   /** Returns when an instance's announcement was last replaced, 0 for never. */
-  heardAt(instance: string): number {
-    return this.#entries.get(instance)?.heardAt ?? 0;
+  updatedAt(instance: string): number {
+    return this.#entries.get(instance)?.updatedAt ?? 0;
   }
 
   /**
@@ -86,13 +86,13 @@
     const { silenceTimeoutMilliseconds, goneRetentionMilliseconds } =
       this.#options;
     const ended: BackendAnnouncement[] = [];
-    for (const [instance, { announcement, heardAt }] of [...this.#entries]) {
-      const silence = now - heardAt;
+    for (const [instance, { announcement, updatedAt }] of [...this.#entries]) {
+      const age = now - updatedAt;
       if (announcement.state !== "gone") {
-        if (silence > silenceTimeoutMilliseconds) {
+        if (age > silenceTimeoutMilliseconds) {
           ended.push(...this.#markGone(instance, now, announcement.sequence));
         }
-      } else if (silence > goneRetentionMilliseconds) {
+      } else if (age > goneRetentionMilliseconds) {
         this.#entries.delete(instance);
       }
     }
@@ -115,8 +115,8 @@
     return [announcement];
   }
 
-  #set(announcement: BackendAnnouncement, heardAt: number): void {
-    this.#entries.set(announcement.instance, { announcement, heardAt });
+  #set(announcement: BackendAnnouncement, updatedAt: number): void {
+    this.#entries.set(announcement.instance, { announcement, updatedAt });
     this.#live = undefined;
   }
 
--- a/packages/core/src/membership/entry_host_row.ts
+++ b/packages/core/src/membership/entry_host_row.ts
@@ -8,6 +8,7 @@
   dataCentre: string;
   publicAddress: string;
   internalAddress: string;
+  /** Identifies one start of the entry process. */
   incarnation: string;
   /** Whether it stopped as planned; it then takes no calls and has no lease. */
   stopped: boolean;
--- a/packages/core/src/membership/may_open_next_stream.ts
+++ b/packages/core/src/membership/may_open_next_stream.ts
@@ -5,7 +5,7 @@
   /** When the stream was opened, monotonic milliseconds. */
   openedAt: number;
   /** Whether the host at the other end has sent something on the stream. */
-  isHeard: boolean;
+  hasReceived: boolean;
 };
 
 /**
@@ -17,7 +17,7 @@
  * one, and one stream is enough to serve.
  */
 export function mayOpenNextStream(openings: Opening[], now: number): boolean {
-  return openings.every(({ openedAt, isHeard }) =>
-    isHeard || now - openedAt > OPEN_TIMEOUT_MILLISECONDS
+  return openings.every(({ openedAt, hasReceived }) =>
+    hasReceived || now - openedAt > OPEN_TIMEOUT_MILLISECONDS
   );
 }
--- a/packages/core/src/membership/may_open_next_stream_test.ts
+++ b/packages/core/src/membership/may_open_next_stream_test.ts
@@ -13,7 +13,7 @@
 function simulateOutage(mayOpen: typeof mayOpenNextStream): number[] {
   const streams = Array.from(
     { length: PROCESSES },
-    () => [] as { openedAt: number; isHeard: boolean }[],
+    () => [] as { openedAt: number; hasReceived: boolean }[],
   );
   const firstHeardAt: number[] = [];
   const queue: { process: number; stream: number }[] = [];
@@ -21,15 +21,15 @@
     for (const [process, opened] of streams.entries()) {
       while (opened.length < STREAMS && mayOpen(opened, now)) {
         queue.push({ process, stream: opened.length });
-        opened.push({ openedAt: now, isHeard: false });
+        opened.push({ openedAt: now, hasReceived: false });
       }
     }
     if (now % ACCEPT_MILLISECONDS !== 0) continue;
     const next = queue.shift();
     if (next === undefined) continue;
     const opened = streams[next.process]!;
-    if (!opened.some(({ isHeard }) => isHeard)) firstHeardAt.push(now);
-    opened[next.stream]!.isHeard = true;
+    if (!opened.some(({ hasReceived }) => hasReceived)) firstHeardAt.push(now);
+    opened[next.stream]!.hasReceived = true;
   }
   return firstHeardAt;
 }
@@ -48,7 +48,7 @@
 
 // Guards against a lost first host that keeps a process from all other hosts.
 test("a silent host delays the next stream only briefly", () => {
-  const silent = [{ openedAt: 0, isHeard: false }];
+  const silent = [{ openedAt: 0, hasReceived: false }];
   assert.equal(mayOpenNextStream(silent, 400), false);
   assert.equal(mayOpenNextStream(silent, 600), true);
   assert.equal(mayOpenNextStream([], 0), true);
--- a/packages/core/src/named_limits/limit_division.ts
+++ b/packages/core/src/named_limits/limit_division.ts
@@ -14,7 +14,7 @@
 type LimitEntry = {
   limit: NamedLimit;
   demands: Map<string, Demand>;
-  heardAt: number;
+  announcementReceivedAt: number;
 };
 
 /**
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Records a limit. Returns whether it is new or its rate differs from the
-   * known one; a limit announced no later than the known one is ignored.
+   * Records a limit, unless one that the same incarnation announced at the same
+   * time or later is known. Returns whether the incarnation or its rate is new.
    */
   recordLimit(limit: NamedLimit, now: number): boolean {
     const known = this.#entries.get(limit.incarnation);
@@ -44,11 +44,11 @@
       return false;
     }
     const entry = known ?? this.#createEntry(limit, now);
-    const isNews = entry.limit.perSecond !== limit.perSecond ||
+    const isChange = entry.limit.perSecond !== limit.perSecond ||
       known === undefined;
     entry.limit = limit;
-    entry.heardAt = now;
-    return isNews;
+    entry.announcementReceivedAt = now;
+    return isChange;
   }
 
   /** Records a host's demand for a backend server that announced a limit. */
@@ -97,17 +97,25 @@
 
   /** Drops limits that no host has mentioned lately; called periodically. */
   expire(now: number): void {
-    for (const [incarnation, { heardAt, demands }] of [...this.#entries]) {
+    for (
+      const [incarnation, { announcementReceivedAt, demands }] of [
+        ...this.#entries,
+      ]
+    ) {
       const latest = [...demands.values()].reduce(
         (most, { at }) => Math.max(most, at),
-        heardAt,
+        announcementReceivedAt,
       );
       if (now - latest > TTL_MILLISECONDS) this.#entries.delete(incarnation);
     }
   }
 
   #createEntry(limit: NamedLimit, now: number): LimitEntry {
-    const entry = { limit, demands: new Map<string, Demand>(), heardAt: now };
+    const entry = {
+      limit,
+      demands: new Map<string, Demand>(),
+      announcementReceivedAt: now,
+    };
     this.#entries.set(limit.incarnation, entry);
     if (this.#entries.size > MAX_LIMITS) {
       this.#entries.delete(this.#entries.keys().next().value!);
--- a/packages/core/src/named_limits/named_limit.ts
+++ b/packages/core/src/named_limits/named_limit.ts
@@ -3,6 +3,7 @@
  * all hosts together.
  */
 export type NamedLimit = {
+  /** Identifies the start of the backend server: `instance@bornAt`. */
   incarnation: string;
   /** Requests a second; undefined once it announces no limit any more. */
   perSecond: number | undefined;
--- a/packages/core/src/rollout/apply_publication.ts
+++ b/packages/core/src/rollout/apply_publication.ts
@@ -16,7 +16,7 @@
     command.expected,
     command.digest,
   );
-  if (decision.kind === "lost") {
+  if (decision.kind === "superseded") {
     return { accepted: false, reason: "number-replaced", value: current };
   }
   if (decision.kind === "repeated") return { accepted: true, value: current };
--- a/packages/core/src/rollout/permit_row.ts
+++ b/packages/core/src/rollout/permit_row.ts
@@ -2,11 +2,15 @@
 export type PermitRow = {
   backendServer: string;
   service: string;
+  /** Incarnation of the agent process that asked for the permit. */
   incarnation: string;
   version: string;
   wasServing: boolean;
   /** Log index of the permit; load orders carry it as their fencing token. */
   fencingToken: number;
-  /** Leader's clock, milliseconds. */
+  /**
+   * The leader's wall-clock time when it proposed the command, Unix
+   * milliseconds.
+   */
   at: number;
 };
--- a/packages/core/src/routing/routing_decision.ts
+++ b/packages/core/src/routing/routing_decision.ts
@@ -1,6 +1,14 @@
 import type { BackendServerRow } from "./backend_server_row.ts";
 
-/** The backend server for a call, or the reason to refuse the call. */
+/**
+ * The backend server for a call, or the reason to refuse the call:
+ * - "no-backend-server": none is live and not drained, or all usable ones are
+ *   ejected;
+ * - "no-complete-model": some are live, but each does not accept calls now, was
+ *   already tried for this call, or has no complete version of the weights;
+ * - "overloaded": each would keep the call waiting for more than half of its
+ *   deadline.
+ */
 export type RoutingDecision =
   | { kind: "send"; to: BackendServerRow }
   | {
--- a/packages/core/src/spread/chunk_set.ts
+++ b/packages/core/src/spread/chunk_set.ts
@@ -1,4 +1,7 @@
-/** Tracks which chunks of one version a host holds. */
+/**
+ * Tracks which chunks of one version a host holds, or in a `SpreadTable` which
+ * blocks.
+ */
 export class ChunkSet {
   #held: Uint8Array;
   #count = 0;
--- a/packages/core/src/spread/spread_host_row.ts
+++ b/packages/core/src/spread/spread_host_row.ts
@@ -6,6 +6,7 @@
   dataCentre: string;
   /** Address from which other agents fetch this host's chunks. */
   address: string;
+  /** Blocks that the host holds; see `SpreadTable`. */
   held: ChunkSet;
   /** Whether the host fetches chunks by this coordinator's plans. */
   followsPlans: boolean;
--- a/packages/core/src/spread/spread_table.ts
+++ b/packages/core/src/spread/spread_table.ts
@@ -16,7 +16,13 @@
 
 type Transfer = ChunkAssignment & { startedAt: number };
 
-/** Tracks one version's spread as known to one data centre's coordinator. */
+/**
+ * Tracks one version's spread as known to one data centre's coordinator.
+ *
+ * Hosts exchange whole blocks (see `WeightBlocks`). What is called a chunk
+ * here, in the policies and in the rankings is therefore one block, by its
+ * index, and `chunkBytes` is the size of a full block.
+ */
 export class SpreadTable {
   readonly version: string;
   readonly totalChunks: number;
--- a/packages/core/src/state/command_schema.ts
+++ b/packages/core/src/state/command_schema.ts
@@ -5,11 +5,16 @@
 const boundedText = z.string().min(1).max(512);
 const nonNegativeInteger = z.number().int().min(0);
 
-/** Validates any command that can be proposed to the replicated log. */
+/**
+ * Validates any command that can be proposed to the replicated log. The time
+ * `at` is in Unix milliseconds; the leader sets it when it proposes the command,
+ * whatever the sender put there.
+ */
 export const commandSchema = z.discriminatedUnion("kind", [
   z.strictObject({
     kind: z.literal("change-contract"),
     workspace: boundedText,
+    /** Number of the row that the change replaces; 0 if there is none yet. */
     expected: nonNegativeInteger,
     content: contractContentSchema,
     retired: z.boolean(),
@@ -18,6 +23,7 @@
   z.strictObject({
     kind: z.literal("publish-weights"),
     service: boundedText,
+    /** Number of the row that the change replaces; 0 if there is none yet. */
     expected: nonNegativeInteger,
     manifest: weightsManifestSchema,
     store: z.url().max(512),
@@ -74,6 +80,10 @@
     incarnation: boundedText,
     version: boundedText,
     wasServing: z.boolean(),
+    /**
+     * Live backend servers of the service, as counted by the entry host that
+     * asks.
+     */
     live: nonNegativeInteger,
     at: z.number().default(0),
   }),
--- a/packages/core/src/state/control_state.ts
+++ b/packages/core/src/state/control_state.ts
@@ -32,7 +32,7 @@
   namedWeights: Map<string, NamedWeightsRow>;
   /**
    * Requests suspected of crashing the backend servers that run them, by
-   * fingerprint, oldest first.
+   * fingerprint, oldest first; also those that have been blamed since.
    */
   suspectedRequests: Map<string, SuspectedRequestRow>;
   /**
--- a/packages/core/src/state/decide_numbered_change.ts
+++ b/packages/core/src/state/decide_numbered_change.ts
@@ -5,7 +5,7 @@
 type Decision =
   | { kind: "apply"; number: number; history: NumberedRow["history"] }
   | { kind: "repeated"; number: number }
-  | { kind: "lost" };
+  | { kind: "superseded" };
 
 /**
  * Decides an operator's change to a row by optimistic concurrency: `expected`
@@ -13,7 +13,7 @@
  * the same row at once, and a client that did not receive its answer resends
  * its change. A change whose number and digest are in the row's history is such
  * a resend and gets the same answer ("repeated"). Any other change that does
- * not replace the current number fails ("lost").
+ * not replace the current number fails ("superseded").
  */
 export function decideNumberedChange(
   row: NumberedRow | undefined,
@@ -33,5 +33,5 @@
   const recorded = row?.history.find((change) => change.number === number);
   return recorded?.digest === digest
     ? { kind: "repeated", number }
-    : { kind: "lost" };
+    : { kind: "superseded" };
 }
--- a/packages/daemon/src/control/crash_attributor.ts
+++ b/packages/daemon/src/control/crash_attributor.ts
@@ -53,7 +53,7 @@
   /** Fingerprints cleared because the request completed successfully. */
   readonly cleared$ = new Subject<string>();
   #options: Options;
-  #ledger = new CrashLedger({ settleMilliseconds: SETTLE_MILLISECONDS });
+  #ledger = new CrashLedger({ decisionDelayMilliseconds: SETTLE_MILLISECONDS });
   /** Fingerprints emitted as suspicions or restored; oldest first. */
   #persisted = new Set<string>();
   #suspicionBudget = new NewsRateLimiter(MAX_SUSPICIONS_PER_SECOND);
--- a/packages/daemon/src/entry/calls/call_crash_detector.ts
+++ b/packages/daemon/src/entry/calls/call_crash_detector.ts
@@ -27,7 +27,9 @@
  */
 export class CallCrashDetector {
   #options: Options;
-  #ledger = new CrashLedger({ settleMilliseconds: REPORT_SETTLE_MILLISECONDS });
+  #ledger = new CrashLedger({
+    decisionDelayMilliseconds: REPORT_SETTLE_MILLISECONDS,
+  });
   /** Fingerprints of the blamed calls in the replicated tables. */
   #replicatedFingerprints = new Set<string>();
   #decideTimer: NodeJS.Timeout | undefined;
--- a/packages/daemon/src/gateway/crash_reporter.ts
+++ b/packages/daemon/src/gateway/crash_reporter.ts
@@ -48,7 +48,7 @@
  */
 export class CrashReporter {
   #options: Options;
-  #ledger = new CrashLedger({ settleMilliseconds: SETTLE_MILLISECONDS });
+  #ledger = new CrashLedger({ decisionDelayMilliseconds: SETTLE_MILLISECONDS });
   #inFlight = new Set<InFlightCall>();
   #reports: CrashReport[] = [];
   #rateLimiter = new NewsRateLimiter(MAX_REPORTS_PER_SECOND);
--- a/packages/daemon/src/transport/entry_links.ts
+++ b/packages/daemon/src/transport/entry_links.ts
@@ -198,7 +198,7 @@
   #mayOpenNextStream(): boolean {
     const openings = this.#links
       .filter(({ outgoing }) => outgoing !== undefined)
-      .map(({ openedAt, host }) => ({ openedAt, isHeard: host !== "" }));
+      .map(({ openedAt, host }) => ({ openedAt, hasReceived: host !== "" }));
     return mayOpenNextStream(openings, monotonicMilliseconds());
   }
 
--- a/packages/daemon/src/transport/follow_set.ts
+++ b/packages/daemon/src/transport/follow_set.ts
@@ -160,7 +160,7 @@
     if (this.#options.hello.isControl) return true;
     const openings = [...this.#links.values()].map(({ link, openedAt }) => ({
       openedAt,
-      isHeard: link.isConnected,
+      hasReceived: link.isConnected,
     }));
     return mayOpenNextStream(openings, monotonicMilliseconds());
   }
