--- a/packages/core/src/consensus/raft_node.ts
+++ b/packages/core/src/consensus/raft_node.ts
@@ -116,6 +116,12 @@
     else if (this.#electionState.isElectionDue(now)) this.#campaign(now);
   }
 
+  /**
+   * Appends a command to the log if this member leads, a majority has answered
+   * within the election timeout, and no leadership transfer is in progress.
+   * Returns the entry's index, otherwise "not-leading". `flush` sends the
+   * entry.
+   */
   propose(data: Uint8Array, now: number): Result<number, ProposalRefusal> {
     const leadership = this.#leadership;
     return leadership?.acceptsProposals(now)
@@ -124,8 +130,9 @@
   }
 
   /**
-   * Proposes a membership change. Fails while an earlier change is uncommitted
-   * or no entry of this leader's term is committed.
+   * Proposes a membership change. Returns "not-leading" under the conditions of
+   * `propose`, and "change-under-way" while an earlier change is uncommitted or
+   * no entry of this leader's term is committed.
    */
   proposeMembership(
     membership: Membership,
@@ -161,8 +168,8 @@
   }
 
   /**
-   * When a member last answered this leader, milliseconds; -Infinity when this
-   * member does not lead.
+   * When a member last answered this leader, or when this member began to lead
+   * if that is later, milliseconds; -Infinity when this member does not lead.
    */
   heardAt(id: string): number {
     return this.#leadership?.heardAt(id) ?? -Infinity;
--- a/packages/core/src/contracts/contract_row.ts
+++ b/packages/core/src/contracts/contract_row.ts
@@ -3,7 +3,10 @@
 /** A workspace's current contract. */
 export type ContractRow = {
   workspace: string;
-  /** Counts accepted changes from 1; a change names the one it replaces. */
+  /**
+   * Counts accepted changes from 1; a change states the number that it
+   * replaces.
+   */
   number: number;
   content: ContractContent;
   retired: boolean;
--- a/packages/core/src/crashes/crash_ledger.ts
+++ b/packages/core/src/crashes/crash_ledger.ts
@@ -27,8 +27,9 @@
 
 type Options = {
   /**
-   * Reports of one crash arrive from several hosts within this time. A suspect
-   * is blamed only once this long has passed since its latest new crash.
+   * A suspect is blamed only once this long has passed since its latest new
+   * crash, so that all reports of that crash, or the decision of another host,
+   * can arrive first.
    */
   decisionDelayMilliseconds: number;
 };
@@ -60,7 +61,7 @@
     this.#options = options;
   }
 
-  /** Whether any request is refused, or has a trial run after its term. */
+  /** Whether any blame is stored, also one whose refusal period has ended. */
   get hasBlamed(): boolean {
     return this.#blamed.size > 0;
   }
--- a/packages/core/src/gateway/backend_record.ts
+++ b/packages/core/src/gateway/backend_record.ts
@@ -1,6 +1,9 @@
 type ReportedLoad = { running: number; waiting: number; slots: number };
 
-/** Maximum age of a load report on arrival. */
+/**
+ * How long send times are kept: longer than the age of any load report on
+ * arrival, which is at most 100 ms.
+ */
 const SEND_TIME_RETENTION_MILLISECONDS = 200;
 /** Weight of the latest result in the moving average of failures. */
 const LATEST_RESULT_WEIGHT = 0.25;
@@ -98,8 +101,8 @@
   /**
    * Stores a load report.
    *
-   * @param age age of the report on arrival, milliseconds. It does not include
-   * requests sent within that time.
+   * @param age milliseconds since the report's data was measured. Requests sent
+   * since then are not in the report and are added.
    */
   recordReport(report: ReportedLoad, now: number, age = 0): void {
     const reportedAt = now - age;
--- a/packages/core/src/gateway/decide_placement.ts
+++ b/packages/core/src/gateway/decide_placement.ts
@@ -12,8 +12,8 @@
    */
   targetLeftMilliseconds: number;
   /**
-   * Share of recent requests, not counting retries, that found no free slot,
-   * 0 to 1.
+   * Share of recent requests, not counting clients' retries, that found no free
+   * slot at the engine chosen for them, 0 to 1; see `SlotPressure`.
    */
   slotPressure: number;
   now: number;
--- a/packages/core/src/gateway/slot_pressure.ts
+++ b/packages/core/src/gateway/slot_pressure.ts
@@ -5,11 +5,11 @@
 const LATEST_WEIGHT = 0.05;
 
 /**
- * Tracks how often requests that can meet their target find no free slot at the
- * best backend server of their service, from 0 to 1. If almost all find none,
- * no capacity is left for requests that are already late. If few find none, as
- * when a backlog is processed while new load is below capacity, slots become
- * free that timely requests do not need.
+ * Moving average, from 0 to 1, of how often a request that is not a client's
+ * retry finds no free slot at the engine chosen for it. If almost all find
+ * none, no capacity is left for requests that are already late. If few find
+ * none, as when a backlog is processed while new load is below capacity, slots
+ * become free that timely requests do not need.
  */
 export class SlotPressure {
   /**
@@ -21,7 +21,7 @@
   /**
    * Records one request.
    *
-   * @param isFull whether the best backend server for it had no free slot.
+   * @param isFull whether the engine chosen for it had no free slot.
    */
   recordRequest(isFull: boolean): void {
     const latest = isFull ? 1 : 0;
--- a/packages/core/src/gateway/update_assumed_load.ts
+++ b/packages/core/src/gateway/update_assumed_load.ts
@@ -16,10 +16,11 @@
  * tokens and the share of timely requests without a response among this host's
  * in-flight requests.
  *
- * An engine that gets no requests from this host for a second, because others
- * looked less loaded, does not report its load either. If assumed empty, it
- * would get the next requests of every host, behind all requests that other
- * hosts have already sent to it.
+ * This host learns an engine's load from the responses to its own requests, and
+ * from the engine's stager, which reports only changes. An engine that got no
+ * requests from this host for a second, because others looked less loaded, may
+ * thus have no recent report. If assumed empty, it would get the next requests
+ * of every host, behind all requests that other hosts have already sent to it.
  */
 export function updateAssumedLoad(
   candidates: BackendCandidate[],
--- a/packages/core/src/limits/limit_allotter.ts
+++ b/packages/core/src/limits/limit_allotter.ts
@@ -5,8 +5,20 @@
 import type { HostAllotmentRow } from "./host_allotment_row.ts";
 import { hostCeiling } from "./host_ceiling.ts";
 
+/**
+ * How long a host may use an allotted rate even above its floor, counted from
+ * when it sent its report.
+ */
 const GRANT_MILLISECONDS = 1_500;
+/**
+ * How long a host admits no more than the allotted rate, counted from when it
+ * received the allotment.
+ */
 const CAP_MILLISECONDS = 4_000;
+/**
+ * How long after its latest report a host counts as live, and changes wait for
+ * it.
+ */
 const LEASE_MILLISECONDS = 2_000;
 /**
  * Fraction of a contract's rate reserved for idle hosts, so that a first call
--- a/packages/core/src/membership/backend_registry.ts
+++ b/packages/core/src/membership/backend_registry.ts
@@ -44,7 +44,10 @@
     return this.#entries.get(instance)?.announcement;
   }
 
-  /** Returns when an instance's announcement was last replaced, 0 for never. */
+  /**
+   * Returns when an instance's entry last changed, by an announcement or by
+   * being marked as gone, in monotonic milliseconds; 0 if unknown.
+   */
   updatedAt(instance: string): number {
     return this.#entries.get(instance)?.updatedAt ?? 0;
   }
--- a/packages/core/src/membership/entry_host_row.ts
+++ b/packages/core/src/membership/entry_host_row.ts
@@ -10,6 +10,9 @@
   internalAddress: string;
   /** Identifies one start of the entry process. */
   incarnation: string;
-  /** Whether it stopped as planned; it then takes no calls and has no lease. */
+  /**
+   * Whether it stopped as planned and takes no calls. It then sends no more
+   * reports, and once its lease has expired, changes don't wait for it.
+   */
   stopped: boolean;
 };
--- a/packages/core/src/named_limits/limit_division.ts
+++ b/packages/core/src/named_limits/limit_division.ts
@@ -3,8 +3,8 @@
 /** A host that reported no demand for this long loses its part. */
 const DEMAND_TIMEOUT_MILLISECONDS = 2_500;
 /**
- * How long a limit that no host mentions is kept: far longer than any backend
- * server needs to be limited.
+ * How long a limit is kept after its last announcement or demand: far longer
+ * than any backend server needs a limit.
  */
 const TTL_MILLISECONDS = 60_000;
 const MAX_LIMITS = 1_024;
@@ -51,7 +51,10 @@
     return isChange;
   }
 
-  /** Records a host's demand for a backend server that announced a limit. */
+  /**
+   * Records a host's demand for a backend server that announced a limit.
+   * Ignored if no limit of the incarnation is known.
+   */
   recordDemand(
     incarnation: string,
     demand: { host: string; perSecond: number },
@@ -95,7 +98,10 @@
     );
   }
 
-  /** Drops limits that no host has mentioned lately; called periodically. */
+  /**
+   * Drops limits without an announcement or a demand for `TTL_MILLISECONDS`; to
+   * be called periodically.
+   */
   expire(now: number): void {
     for (
       const [incarnation, { announcementReceivedAt, demands }] of [
--- a/packages/core/src/named_limits/limit_part_bucket.ts
+++ b/packages/core/src/named_limits/limit_part_bucket.ts
@@ -3,13 +3,16 @@
  * takes to reach every host.
  */
 const GROWTH_DELAY_MILLISECONDS = 1_000;
-/** A host assigned no part for this long is assumed cut off from all others. */
+/**
+ * A host to which no control host has assigned a part for this long is assumed
+ * to be cut off from all other hosts.
+ */
 const ASSIGNMENT_TIMEOUT_MILLISECONDS = 2_000;
-/** Fraction of its part that a host keeps using while it is cut off. */
+/** Fraction of its last part that a host uses while it is cut off. */
 const DISCONNECTED_FACTOR = 0.5;
 /**
- * Used until the host is assigned its part: eight such hosts together keep to
- * the limit.
+ * Part that a host uses until a control host assigns it one: with this part,
+ * eight hosts together keep to the limit.
  */
 const DEFAULT_PART = 0.125;
 /**
@@ -18,14 +21,20 @@
  */
 const MIN_REQUESTS_PER_SECOND = 0.1;
 /**
- * All hosts together may save up this number of requests, and what the limit
- * allows in this time.
+ * All hosts together may save `SHARED_BURST_REQUESTS` plus the requests that
+ * the limit allows in `SHARED_BURST_SECONDS`.
  */
 const SHARED_BURST_REQUESTS = 3;
 const SHARED_BURST_SECONDS = 1;
-/** Each host may save this much of its own rate, as arrivals are uneven. */
+/**
+ * Each host may in addition save what its own rate allows in this time, as
+ * arrivals are uneven.
+ */
 const HOST_BURST_SECONDS = 0.5;
-/** After a rejected request, more of them are expected for this long. */
+/**
+ * For this long after a rejected request, more requests are expected, and the
+ * host may save a whole token; see `#maxTokens`.
+ */
 const REJECTION_TTL_MILLISECONDS = 6_000;
 /**
  * Time constant of the exponential decay of demand: a request this long ago
@@ -44,16 +53,19 @@
  * Token bucket for one host's part of the request rate that a backend server
  * announced as its limit.
  *
- * Parts follow the traffic, and hosts learn of a change at slightly different
- * times. A smaller part applies at once; a larger one applies once all other
- * hosts have shrunk theirs, so that the hosts together keep to the limit in
- * between as well. With many hosts, each may send a fraction of a request a
- * second. If every host could save up a whole request, as many requests as
- * there are hosts would be sent as soon as traffic reaches all of them.
- * Therefore a host sends a request once its tokens reach a random threshold,
- * chosen anew for each request, and owes the tokens missing to a whole one. And
- * while no request is rejected, it saves only its part of a shared burst: with
- * many hosts a fraction of a request.
+ * Each host's part follows its demand, and hosts receive a change at slightly
+ * different times. A smaller part applies at once; a larger one only after
+ * `GROWTH_DELAY_MILLISECONDS`, when all other hosts have applied their smaller
+ * ones, so that the hosts together keep to the limit in between as well.
+ *
+ * With many hosts, each may send only a fraction of a request a second. If each
+ * could save a whole token, all would send at once when traffic reaches them:
+ * as many requests as there are hosts. Therefore a host sends a request as soon
+ * as its tokens reach a threshold, drawn at random from [0, 1) for each
+ * request. A whole token is then subtracted, so the tokens can become negative.
+ * While it rejects no request, a host saves at most its part of a shared burst,
+ * with many hosts a fraction of a token, and what its own rate allows in
+ * `HOST_BURST_SECONDS`.
  */
 export class LimitPartBucket {
   #perSecond: number;
--- a/packages/core/src/rollout/permit_row.ts
+++ b/packages/core/src/rollout/permit_row.ts
@@ -4,6 +4,7 @@
   service: string;
   /** Incarnation of the agent process that asked for the permit. */
   incarnation: string;
+  /** As `versionName` formats it: name@version. */
   version: string;
   wasServing: boolean;
   /** Log index of the permit; load orders carry it as their fencing token. */
--- a/packages/core/src/routing/backend_server_row.ts
+++ b/packages/core/src/routing/backend_server_row.ts
@@ -1,4 +1,7 @@
-/** A backend server as seen by one entry host. Times are in milliseconds. */
+/**
+ * A backend server as seen by one entry host. Points in time are Unix
+ * milliseconds of this entry host's wall clock.
+ */
 export type BackendServerRow = {
   backendServer: string;
   dataCentre: string;
@@ -12,6 +15,7 @@
   usesWeights: boolean;
   /** Calls that the backend server processes concurrently. */
   slots: number;
+  /** As `versionName` formats it: name@version; empty if none is loaded. */
   servingVersion: string;
   accepting: boolean;
   linkBytesPerSecond: number;
@@ -22,6 +26,7 @@
   load: {
     running: number;
     queued: number;
+    /** Recent mean duration of a call; 0 before the first report. */
     serviceMilliseconds: number;
     /** Calls of this entry host in flight when the report arrived. */
     ownInFlight: number;
--- a/packages/core/src/spread/chunk_assignment.ts
+++ b/packages/core/src/spread/chunk_assignment.ts
@@ -1,4 +1,6 @@
-/** One chunk, in fact one block (see `SpreadTable`), that a host is to fetch. */
+/**
+ * One chunk, in fact one block (see `SpreadTable`), that a host is to fetch.
+ */
 export type ChunkAssignment = {
   host: string;
   chunk: number;
--- a/packages/core/src/spread/peer_exchange_policy.ts
+++ b/packages/core/src/spread/peer_exchange_policy.ts
@@ -32,9 +32,9 @@
 type FetchRequest = { host: string; chunk: number; now: number };
 
 /**
- * Plans the exchange of chunks, in fact of blocks (see `SpreadTable`), among the
- * hosts of a data centre. A chunk that no local host holds or is fetching is
- * fetched once, from the origin or from a remote data centre. All other
+ * Plans the exchange of chunks, in fact of blocks (see `SpreadTable`), among
+ * the hosts of a data centre. A chunk that no local host holds or is fetching
+ * is fetched once, from the origin or from a remote data centre. All other
  * transfers are between local hosts, with a few concurrent uploads per source.
  */
 export class PeerExchangePolicy implements SpreadPolicy {
--- a/packages/core/src/state/command_schema.ts
+++ b/packages/core/src/state/command_schema.ts
@@ -7,8 +7,8 @@
 
 /**
  * Validates any command that can be proposed to the replicated log. The time
- * `at` is in Unix milliseconds; the leader sets it when it proposes the command,
- * whatever the sender put there.
+ * `at` is in Unix milliseconds; the leader sets it when it proposes the
+ * command, whatever the sender put there.
  */
 export const commandSchema = z.discriminatedUnion("kind", [
   z.strictObject({
--- a/packages/core/src/state/decide_numbered_change.ts
+++ b/packages/core/src/state/decide_numbered_change.ts
@@ -12,8 +12,9 @@
  * is the number of the row that the change replaces. Two operators can change
  * the same row at once, and a client that did not receive its answer resends
  * its change. A change whose number and digest are in the row's history is such
- * a resend and gets the same answer ("repeated"). Any other change that does
- * not replace the current number fails ("superseded").
+ * a resend ("repeated"): it is accepted without effect, and answered with the
+ * current row, which may be newer. Any other change that does not replace the
+ * current number fails ("superseded").
  */
 export function decideNumberedChange(
   row: NumberedRow | undefined,
