--- a/packages/core/src/claims/apply_claim.ts
+++ b/packages/core/src/claims/apply_claim.ts
@@ -19,8 +19,10 @@
 }
 
 /**
- * Assigns a call that may not be repeated to one agent process. A key that is
- * claimed already is refused with its row, and never gets a second owner.
+ * Assigns a call that may not be repeated to one agent process, that of the
+ * command's `incarnation`. If the key is claimed already, the command is
+ * refused and the `value` of the result is the existing claim, so that no
+ * second process may run the call.
  */
 export function applyClaim(
   state: ControlState,
--- a/packages/core/src/consensus/election_state.ts
+++ b/packages/core/src/consensus/election_state.ts
@@ -168,11 +168,12 @@
   }
 
   /**
-   * Whether this member, in a pre-vote of its own, goes before the one that
-   * asks. Two members whose pre-votes overlap would grant each other's, both
-   * start elections and split the votes. With equal logs the member with the
-   * greater id goes first. With unequal logs this is false: a member that
-   * lacks entries cannot win and must let the other one pass.
+   * Whether this member refuses a pre-vote because it is in a pre-vote itself
+   * and has priority. Two members whose pre-votes overlap would otherwise grant
+   * each other's, both start elections and split the votes. With equal logs,
+   * the member with the greater id has priority. With unequal logs neither has:
+   * the member whose log is less up to date cannot win, and must grant the
+   * other's pre-vote.
    */
   #hasPriorityOver(message: PeerMessage, request: VoteRequest): boolean {
     const { lastIndex, lastTerm } = this.#memberLog.log;
--- a/packages/core/src/consensus/leadership.ts
+++ b/packages/core/src/consensus/leadership.ts
@@ -51,8 +51,9 @@
   }
 
   /**
-   * Whether this leader has a quorum and no leadership transfer is in progress.
-   * New entries during a transfer would put off the target's catching up.
+   * Whether a majority has answered within the election timeout and no
+   * leadership transfer is in progress. A transfer completes only when its
+   * target has all entries, and new ones would delay that.
    */
   acceptsProposals(now: number): boolean {
     return this.hasQuorumContact(now) && this.#transferTargetId === "";
--- a/packages/core/src/consensus/raft_node.ts
+++ b/packages/core/src/consensus/raft_node.ts
@@ -175,6 +175,10 @@
     return this.#leadership?.heardAt(id) ?? -Infinity;
   }
 
+  /**
+   * Last index of a member's log known to match this leader's and to be synced;
+   * 0 when this member does not lead.
+   */
   matchIndexOf(id: string): number {
     return this.#leadership?.matchIndexOf(id) ?? 0;
   }
--- a/packages/core/src/consensus/replicator.ts
+++ b/packages/core/src/consensus/replicator.ts
@@ -15,11 +15,12 @@
 
 const MAX_ENTRIES_PER_REQUEST = 256;
 /**
- * A request never arrives if sending and reading it takes longer than a peer
- * link may stay unacknowledged. This many bytes take about 10 ms.
+ * A peer link on which nothing is acknowledged for 500 ms is replaced, so a
+ * larger request that takes longer than that to send and read would never
+ * arrive. This many bytes take about 10 ms.
  */
 const MAX_BYTES_PER_REQUEST = 131_072;
-/** How long a sent snapshot may be in flight before it is sent again. */
+/** Time without a confirmation after which a snapshot is sent again. */
 const SNAPSHOT_RETRY_MILLISECONDS = 2_000;
 
 type Send = (to: string, body: PeerMessage["body"]) => void;
--- a/packages/core/src/crashes/blame.ts
+++ b/packages/core/src/crashes/blame.ts
@@ -1,6 +1,6 @@
 /**
- * A request in quarantine: it is refused for a term, because backend servers
- * crashed while running it.
+ * A request in quarantine: it is refused for some time, its refusal period,
+ * because backend servers crashed while running it.
  */
 export type Blame = {
   fingerprint: string;
@@ -11,7 +11,7 @@
    * crashes. These crashes are not evidence against any other request.
    */
   incarnations: string[];
-  /** How long the request is refused after its latest crash. */
+  /** Refusal period: how long the request is refused after its latest crash. */
   termMilliseconds: number;
   /** When the refusal ends, monotonic milliseconds. */
   endsAt: number;
--- a/packages/core/src/crashes/blame_from_row.ts
+++ b/packages/core/src/crashes/blame_from_row.ts
@@ -7,7 +7,7 @@
  * Converts a stored blame, which has a wall-clock time, to one that ends on
  * this process's monotonic clock. Both clock readings are in milliseconds. The
  * wall clock may have been set back since the blame was stored, so the blame
- * never ends later than one whole term from now.
+ * never ends later than one whole refusal period from now.
  */
 export function blameFromRow(row: BlamedRequestRow, now: ClockReadings): Blame {
   const { at, ...blame } = row;
--- a/packages/core/src/crashes/blamed_request_row.ts
+++ b/packages/core/src/crashes/blamed_request_row.ts
@@ -1,4 +1,7 @@
-/** A request that is refused for a term, as stored in the replicated tables. */
+/**
+ * A request in quarantine, as stored in the replicated tables; see `Blame` for
+ * the fields.
+ */
 export type BlamedRequestRow = {
   fingerprint: string;
   crashes: number;
--- a/packages/core/src/crashes/crash_evidence.ts
+++ b/packages/core/src/crashes/crash_evidence.ts
@@ -12,6 +12,7 @@
  */
 const UNSTARTED_ANSWER_MILLISECONDS = 60_000;
 
+/** `at`: when the crash was reported, monotonic milliseconds; never read. */
 type ObservedCrash = { begunMilliseconds: number | undefined; at: number };
 
 /** The backend server crashes during which one request was in flight there. */
--- a/packages/core/src/crashes/crash_ledger.ts
+++ b/packages/core/src/crashes/crash_ledger.ts
@@ -4,8 +4,9 @@
 import type { CrashReport } from "./crash_report.ts";
 
 /**
- * Leaves time to fix the request at its sender, or the backend server that
- * crashes on it.
+ * How long a request is refused after its first blame (its refusal period):
+ * time to fix the request at its sender, or the backend server that crashes on
+ * it.
  */
 const INITIAL_TERM_MILLISECONDS = 900_000;
 const MAX_TERM_MILLISECONDS = 86_400_000;
@@ -125,9 +126,9 @@
 
   /**
    * Returns the blame for which a request must be refused now; undefined if it
-   * may run. After the term, one run is admitted as a trial. Others are refused
-   * until that run succeeds and `clear` is called, or until the trial times
-   * out.
+   * may run. After the refusal period, one run is admitted as a trial. Others
+   * are refused until that run succeeds and `clear` is called, or until the
+   * trial times out.
    */
   checkBlame(fingerprint: string, now: number): Blame | undefined {
     const blame = this.#blamed.get(fingerprint);
@@ -144,9 +145,9 @@
   }
 
   /**
-   * Whether a host may retry the request on its own. The attempt that could
-   * cause the last crash needed for a blame is left to the client, which may
-   * never send the request again.
+   * Whether a host may retry the request on its own: not once one more crash
+   * could be enough to blame it. Another attempt is then left to the client,
+   * which may not make one.
    */
   mayRetry(fingerprint: string): boolean {
     return this.evidenceWeightOf(fingerprint) < CRASHES_TO_BLAME - 1;
@@ -178,7 +179,11 @@
     return this.#suspects.get(fingerprint)?.incarnations ?? [];
   }
 
-  /** Drops outdated suspects and blames; to be called periodically. */
+  /**
+   * Drops suspects without a new crash for `EVIDENCE_RETENTION_MILLISECONDS`,
+   * 10 minutes, and blames that ended longer ago than their refusal period; to
+   * be called periodically.
+   */
   expire(now: number): void {
     for (const [fingerprint, { lastReportedAt }] of [...this.#suspects]) {
       const isOld = now - lastReportedAt > EVIDENCE_RETENTION_MILLISECONDS;
@@ -216,9 +221,10 @@
   }
 
   /**
-   * Counts another crash under a blamed request that was still in flight, or
-   * ran as a trial, on some host. If no more than the time of a trial is left
-   * until `endsAt`, this counts as a failed trial and doubles the term.
+   * Counts another crash during which a blamed request was in flight, as a
+   * trial or because some host still had it running. If no more than the time
+   * of a trial is left until `endsAt`, this counts as a failed trial and
+   * doubles the refusal period.
    */
   #extendBlame(blame: Blame, incarnation: string, now: number): void {
     const wasTrialRun = blame.endsAt - now <= TRIAL_MILLISECONDS;
--- a/packages/core/src/gateway/answer_metadata.ts
+++ b/packages/core/src/gateway/answer_metadata.ts
@@ -9,7 +9,10 @@
    * server's own.
    */
   isSigned: boolean;
-  /** Version of the weights that generation started with. */
+  /**
+   * Version of the weights that generation started with; undefined if not
+   * stated.
+   */
   weightsVersion: number | undefined;
   /**
    * Requests per second that the backend server accepts from all hosts
@@ -17,6 +20,9 @@
    * limit only if `isSigned`.
    */
   limitPerSecond: number | undefined;
-  /** Requests running and waiting at the backend server, and its slots. */
+  /**
+   * Requests running and waiting at the backend server, and its slots;
+   * undefined if not reported.
+   */
   load: { running: number; waiting: number; slots: number } | undefined;
 };
--- a/packages/core/src/gateway/backend_record.ts
+++ b/packages/core/src/gateway/backend_record.ts
@@ -51,8 +51,8 @@
 
 /**
  * Load, health and timing of one backend server as seen by this host: from its
- * own requests to the backend server, and from the load reports of the backend
- * server and of the agent next to it.
+ * own requests to the backend server, and from the load reports in its
+ * responses and those of its stager.
  */
 export class BackendRecord {
   /** Requests from this host in flight to the backend server. */
@@ -61,7 +61,7 @@
   pendingPromptTokens = 0;
   /**
    * In-flight requests without a response yet that were expected to meet their
-   * target. The backend server's queue serves them before late ones.
+   * target time. The backend server's queue serves them before late ones.
    */
   timelyUnanswered = 0;
   /**
@@ -76,7 +76,7 @@
   meanPendingPromptTokens = 0;
   /**
    * Share of this host's in-flight requests to the service, 0 to 1, that were
-   * expected to meet their target and have no response yet.
+   * expected to meet their target time and have no response yet.
    */
   timelyUnansweredShare = 0;
   #slotHoldMilliseconds = INITIAL_SLOT_HOLD_MILLISECONDS;
@@ -216,7 +216,10 @@
     this.#isHalfOpen = false;
   }
 
-  /** Records a success; a low failure rate resets the ejection time. */
+  /**
+   * Records a success. A low failure rate resets the length of the next
+   * ejection to that of the first.
+   */
   recordSuccess(): void {
     this.#failureRate *= 1 - LATEST_RESULT_WEIGHT;
     if (this.#failureRate < MAX_FAILURE_RATE / 4) {
--- a/packages/core/src/gateway/decide_placement.ts
+++ b/packages/core/src/gateway/decide_placement.ts
@@ -7,8 +7,8 @@
   engine: EngineDefinition;
   promptTokens: number;
   /**
-   * Time left until the target for the request's first event, milliseconds;
-   * negative once the target has passed.
+   * Time left until the target time for the request's first event,
+   * milliseconds; negative once the target time has passed.
    */
   targetLeftMilliseconds: number;
   /**
@@ -30,17 +30,18 @@
 
 /**
  * Decides whether a request is timely, late or refused at the engine chosen
- * for it. It is timely if the forecast of its first event meets its target.
+ * for it. It is timely if the forecast of its first event meets its target
+ * time.
  *
  * After an outage, or at a peak above the engines' capacity, more requests wait
- * than can meet their targets. If all were served in order of arrival, every
- * request would wait for the whole queue, and all would be late until the queue
- * is empty, even those that arrive once capacity suffices again. Timely
+ * than can meet their target times. If all were served in order of arrival,
+ * every request would wait for the whole queue, and all would be late until the
+ * queue is empty, even those that arrive once capacity suffices again. Timely
  * requests therefore go first. Late ones get only spare capacity: a free slot,
  * or a position in a queue whose limit shrinks the more often requests find no
  * free slot. With a constant limit, late requests would get a slot in every
  * short pause of a lasting peak, and each of these slots would then be missing
- * for a request that could have met its target.
+ * for a request that could have met its target time.
  */
 export function decidePlacement(
   candidate: BackendCandidate,
--- a/packages/core/src/gateway/event_splitter.ts
+++ b/packages/core/src/gateway/event_splitter.ts
@@ -16,6 +16,9 @@
  * stop in the middle of an event. The partial event must not reach the caller,
  * because another backend server may resume the stream after the last complete
  * one.
+ *
+ * Recognizes only LF line ends: `\r\n\r\n` does not end an event, so all bytes
+ * of a stream with CRLF line ends are held back as incomplete.
  */
 export class EventSplitter {
   #rest: Buffer = EMPTY_BUFFER;
@@ -40,7 +43,7 @@
   }
 }
 
-/** Offset after the last empty line, which ends an event; 0 without one. */
+/** Offset after the last empty line (LF LF), which ends an event; 0 if none. */
 function findEndOfCompleteEvents(bytes: Buffer): number {
   for (let at = bytes.length - 1; at > 0; at -= 1) {
     if (bytes[at] === NEWLINE && bytes[at - 1] === NEWLINE) return at + 1;
--- a/packages/core/src/gateway/first_event_forecast.ts
+++ b/packages/core/src/gateway/first_event_forecast.ts
@@ -6,6 +6,8 @@
   slotWaitMilliseconds: number;
   /** Part of the total spent prefilling the prompts ahead and its own. */
   prefillMilliseconds: number;
-  /** Estimated requests of all callers at the backend server. */
+  /**
+   * Estimated requests of all callers at the backend server; can be a fraction.
+   */
   requests: number;
 };
--- a/packages/core/src/gateway/forecast_first_event.ts
+++ b/packages/core/src/gateway/forecast_first_event.ts
@@ -5,8 +5,9 @@
 /** Network time to and from the engine, and time to start the request. */
 const BASE_LATENCY_MILLISECONDS = 40;
 /**
- * Scheduling passes before the first event: the request's own, and on average
- * half of the one that is running when the request arrives.
+ * Passes before the first event: the request's own, and on average half of the
+ * one that is running when the request arrives. A pass is the `stepsPerPass`
+ * decoding steps between two checks of the queue.
  */
 const EXPECTED_PASSES = 1.5;
 
@@ -27,7 +28,8 @@
  * Only requests without a slot count as waiting. Near capacity a few requests
  * wait at each engine. If all requests without a response were counted, also
  * those that have a slot and are being prefilled, the wait would look twice as
- * long as it is, and requests would be refused that could meet their target.
+ * long as it is, and requests would be refused that could meet their target
+ * time.
  */
 export function forecastFirstEvent(request: Request): FirstEventForecast {
   const { record, engine, slots, promptTokens, now } = request;
--- a/packages/core/src/gateway/forward_metadata.ts
+++ b/packages/core/src/gateway/forward_metadata.ts
@@ -1,6 +1,6 @@
 /** Information that the gateway adds to a request for a backend server. */
 export type ForwardMetadata = {
-  /** Time left of the client's patience. */
+  /** Remaining time for which the client waits, milliseconds. */
   deadlineMilliseconds: number;
   /**
    * Expected instance: any other one at the address must refuse the request.
@@ -13,7 +13,10 @@
    * must refuse the request. Undefined for any version.
    */
   weightsVersion: number | undefined;
-  /** Id of the event after which the gateway resumes a broken stream. */
+  /**
+   * Id of the event after which the gateway resumes a broken stream; undefined
+   * for a request that resumes none.
+   */
   resumesAfter: string | undefined;
   /**
    * Priority in the backend server's queue: the `priority` of the routing
--- a/packages/core/src/gateway/patience_estimator.ts
+++ b/packages/core/src/gateway/patience_estimator.ts
@@ -38,10 +38,11 @@
 const MAX_ROUTES = 1_024;
 
 /**
- * Learns how long the clients of each route wait on their first try, to
- * recognize retries. A client that retries after a refusal or a broken
- * connection has less time left, but no header marks the retry. The difference
- * from a first try's patience is the time already spent.
+ * Learns the patience of each route's clients on their first try, to recognize
+ * retries. Patience is the time that a client waits for its response. A client
+ * that retries after a refusal or a broken connection has less time left, but
+ * no header marks the retry. The difference from a first try's patience is the
+ * time already spent.
  */
 export class PatienceEstimator {
   #samples = new Map<string, number[]>();
--- a/packages/core/src/gateway/request_metadata.ts
+++ b/packages/core/src/gateway/request_metadata.ts
@@ -2,7 +2,10 @@
 export type RequestMetadata = {
   /** Identifies one attempt of a client; undefined if missing. */
   id: string | undefined;
-  /** How long the client waits for the response; undefined if not given. */
+  /**
+   * Time from the request's arrival for which the client waits for the response
+   * (its patience), milliseconds; undefined if not given.
+   */
   deadlineMilliseconds: number | undefined;
   /** Workspace key that the request presents; undefined without one. */
   key: string | undefined;
@@ -13,6 +16,9 @@
   maxOutputTokens: number;
   /** The client's estimate of the generated tokens; often far off. */
   expectedOutputTokens: number | undefined;
-  /** Id of the event after which the client resumes a stream. */
+  /**
+   * Id of the event after which the client resumes a stream; undefined for a
+   * request that resumes none.
+   */
   resumesAfter: string | undefined;
 };
--- a/packages/core/src/gateway/retry_after.ts
+++ b/packages/core/src/gateway/retry_after.ts
@@ -7,7 +7,9 @@
 
 type Refusal = {
   cause: Cause;
-  /** How long the client waits for its response, milliseconds. */
+  /**
+   * How long the client waits for its response (its patience), milliseconds.
+   */
   patienceMilliseconds: number;
   /** Uniform in [0, 1). */
   random: number;
@@ -21,8 +23,9 @@
  * delay therefore uses almost the whole third.
  *
  * Overload by a peak, a version change or a backlog also lasts for seconds. A
- * client that retries during it is refused again, in most cases for the last
- * time; its response is late in any case.
+ * client that retries while it lasts is refused again, and most clients then
+ * give up. A response after such a delay misses its target time in any case, so
+ * a longer delay costs nothing.
  */
 const LONG_DELAY_SHARE = 0.31;
 /**
--- a/packages/core/src/gateway/route_table.ts
+++ b/packages/core/src/gateway/route_table.ts
@@ -34,7 +34,8 @@
   }
 
   /**
-   * Finds the route with the longest matching path prefix.
+   * Finds the route with the longest matching path prefix; undefined if none
+   * matches.
    *
    * @param path may include a query, which is ignored.
    */
@@ -55,7 +56,7 @@
     return route.needsKey && this.configuration.workspaces.length > 0;
   }
 
-  /** Finds the workspace that owns a key. */
+  /** Finds the workspace that owns a key; undefined if none does. */
   findWorkspaceByKey(key: string): Workspace | undefined {
     return this.#workspaces.get(key);
   }
--- a/packages/core/src/gateway/routing_configuration_schema.ts
+++ b/packages/core/src/gateway/routing_configuration_schema.ts
@@ -70,6 +70,7 @@
   targetMilliseconds: milliseconds,
   /** 0 is the highest priority: the opposite of a contract's `priority`. */
   priority: z.number(),
+  /** Services among which the route's requests are divided by weight. */
   targets: z.array(z.object({ service: name, weight: z.number().min(0) }))
     .min(1),
   /** Maximum number of backend servers that one request may be sent to. */
--- a/packages/core/src/limits/host_ceiling.ts
+++ b/packages/core/src/limits/host_ceiling.ts
@@ -12,9 +12,10 @@
 
 /**
  * Returns the highest rate at which a host may admit requests at any time up
- * to `until`. A host that is cut off falls back to its floor once its cap has
- * expired. So a cap below the floor counts only if the host confirmed it and
- * it lasts at least as long as what other hosts are granted on account of it.
+ * to `until`. A host that is cut off uses its floor again once its cap has
+ * expired. An allotment below the floor therefore lowers the result below the
+ * floor only if the host confirmed it and its cap lasts until `until`, when the
+ * rates that other hosts are granted in its place have expired.
  */
 export function hostCeiling(options: CeilingOptions): number {
   const { floor, allotments, now, until } = options;
--- a/packages/core/src/limits/workspace_limiter.ts
+++ b/packages/core/src/limits/workspace_limiter.ts
@@ -78,6 +78,8 @@
       this.#tokens -= 1;
       return { admitted: true };
     }
+    // While the rate is 0, 0.001 requests a second bound the retry delay, to at
+    // most 1,000 s per missing token.
     const rate = Math.max(this.rate(now), 0.001);
     const retryAfterMilliseconds = Math.ceil(
       (1 - this.#tokens) / rate * 1_000,
@@ -85,7 +87,10 @@
     return { admitted: false, retryAfterMilliseconds };
   }
 
-  /** Requests a second that callers sent lately, admitted or not. */
+  /**
+   * Requests a second that callers sent, admitted or not: the higher of the
+   * last complete window, of at least 500 ms, and the current one.
+   */
   demand(now: number): number {
     this.#rollWindow(now);
     const elapsed = now - this.#windowStart;
--- a/packages/core/src/membership/may_open_next_stream.ts
+++ b/packages/core/src/membership/may_open_next_stream.ts
@@ -1,4 +1,7 @@
-/** A host that sends nothing on a new stream for so long may be lost. */
+/**
+ * A stream on which the other host has sent nothing for this long no longer
+ * delays the next one: that host may be lost.
+ */
 const OPEN_TIMEOUT_MILLISECONDS = 500;
 
 type Opening = {
--- a/packages/core/src/membership/start_gate.ts
+++ b/packages/core/src/membership/start_gate.ts
@@ -7,7 +7,10 @@
 type Options = {
   /** Monotonic milliseconds. */
   startedAt: number;
-  /** Whether this host has any state that is known to be current. */
+  /**
+   * Whether this host knows a leader and has applied everything that was
+   * committed before that leader's term.
+   */
   isCurrent: () => boolean;
   /** IP addresses of the known control hosts. */
   controlIps: () => string[];
@@ -30,6 +33,11 @@
     this.#options = options;
   }
 
+  /**
+   * Whether a process at this IP address may connect now: other control hosts
+   * always, all others once the gate is open. `now` is in monotonic
+   * milliseconds.
+   */
   admits(ip: string, now: number): boolean {
     const { startedAt, isCurrent, controlIps } = this.#options;
     this.#isOpen ||= isCurrent() || now - startedAt > MAX_CLOSED_MILLISECONDS;
--- a/packages/core/src/routing/predict_wait.ts
+++ b/packages/core/src/routing/predict_wait.ts
@@ -6,8 +6,9 @@
 const SLOW_START_INITIAL_SHARE = 0.25;
 
 /**
- * Slots to count on. A backend server that has just started to accept calls
- * gets a share of its slots that grows linearly to all of them.
+ * Slots that the prediction assumes to be usable. A backend server that has
+ * just started to accept calls gets a share of its slots that grows linearly to
+ * all of them.
  */
 function usableSlots(row: BackendServerRow, now: number): number {
   const age = now - row.acceptingSince;
--- a/packages/core/src/routing/predicted_wait_policy.ts
+++ b/packages/core/src/routing/predicted_wait_policy.ts
@@ -10,6 +10,10 @@
 const SLOW_RATIO = 2;
 const DEFAULT_SERVICE_MILLISECONDS = 100;
 const MAX_REMEMBERED_PREFIXES = 4_096;
+/**
+ * Share by which a call is assumed to take longer at a backend server whose
+ * slots are all in use.
+ */
 const UTILIZATION_WEIGHT = 0.5;
 const CACHED_PREFIX_BONUS_MILLISECONDS = 20;
 
--- a/packages/core/src/spread/peer_exchange_policy.ts
+++ b/packages/core/src/spread/peer_exchange_policy.ts
@@ -75,7 +75,11 @@
     return [...eligible.slice(start), ...eligible.slice(0, start)];
   }
 
-  /** Remote downloads use little of a host's link: they are limited apart. */
+  /**
+   * Downloads from remote data centres use little of a host's link, so
+   * `#remoteSource` limits them separately. As it refuses at the limit, the
+   * second condition always holds.
+   */
   #hasDownloadCapacity(table: SpreadTable, row: SpreadHostRow): boolean {
     const { downloadsPerHost, remoteDownloadsPerHost } = this.#options;
     const downloads = table.transfersOf(row.host).size;
--- a/packages/core/src/spread/spread_table.ts
+++ b/packages/core/src/spread/spread_table.ts
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Whether every chunk has left the origin, so that a host in this data centre
-   * or in a remote one holds it.
+   * Whether each chunk is held by at least one host, in this data centre or in
+   * a remote one, and so has left the origin.
    */
   get isEveryChunkHeld(): boolean {
     return this.#localHolders.every((holders, chunk) =>
@@ -193,8 +193,9 @@
   }
 
   /**
-   * Ends a transfer that its host reported as failed. The host avoids the
-   * source until `times.until`, or for a shorter time if it is the origin.
+   * Ends a transfer that its host reported as failed. The host then avoids the
+   * source at least until `times.until`, or the origin for 300 ms if that is
+   * sooner; see `SourceFaults` for when all hosts avoid a source.
    */
   failTransfer(
     host: string,
--- a/packages/core/src/spread/weight_blocks.ts
+++ b/packages/core/src/spread/weight_blocks.ts
@@ -1,7 +1,10 @@
 import type { ChunkSet } from "./chunk_set.ts";
 import type { WeightsManifest } from "./weights_manifest.ts";
 
-/** An exchange between hosts costs the same for a small chunk as for this. */
+/**
+ * Target size of a block: up to about this size, the cost of an exchange
+ * between two hosts does not depend on the number of bytes.
+ */
 const BLOCK_BYTES = 49_152;
 
 /**
--- a/packages/core/src/state/decode_control_state.ts
+++ b/packages/core/src/state/decode_control_state.ts
@@ -37,7 +37,7 @@
 
 /**
  * Decodes what `encodeControlState` wrote. Returns the empty state for empty
- * `bytes`.
+ * `bytes`; throws if they are no valid JSON.
  */
 export function decodeControlState(bytes: Uint8Array): ControlState {
   if (bytes.length === 0) return createEmptyControlState();
--- a/packages/core/src/timeline/hybrid_clock.ts
+++ b/packages/core/src/timeline/hybrid_clock.ts
@@ -7,7 +7,11 @@
 export class HybridClock {
   #latest: HybridTime = { time: 0, counter: 0 };
 
-  /** Advances the clock for a local event and returns the event's stamp. */
+  /**
+   * Advances the clock for a local event and returns the event's stamp.
+   *
+   * @param wallTime Unix milliseconds, as in all methods.
+   */
   stamp(wallTime: number): HybridTime {
     return this.#advance(wallTime, this.#latest);
   }
--- a/packages/core/src/timeline/timeline_ring.ts
+++ b/packages/core/src/timeline/timeline_ring.ts
@@ -22,6 +22,11 @@
     this.#capacity = capacity;
   }
 
+  /**
+   * Records an event.
+   *
+   * @param wallTime Unix milliseconds, as in all methods.
+   */
   record(wallTime: number, kind: string, detail: string): void {
     const stamp = this.#clock.stamp(wallTime);
     this.#events.push({ ...stamp, process: this.#process, kind, detail });
