--- a/packages/core/src/crashes/blame.ts
+++ b/packages/core/src/crashes/blame.ts
@@ -1,17 +1,17 @@
 /**
- * A request in quarantine: it is refused for a term, because backend servers
- * crashed while running it.
+ * A request in quarantine: it is refused for some time, its refusal period,
+ * because backend servers crashed while running it.
  */
 export type Blame = {
   fingerprint: string;
   /** Backend server crashes attributed to the request that are known so far. */
   crashes: number;
   /**
-   * Backend server starts that ended in the latest of these crashes. They are
-   * not evidence against any other request.
+   * Incarnations, as in `CrashReport`, that ended in the latest of these
+   * crashes. These crashes are not evidence against any other request.
    */
   incarnations: string[];
-  /** How long the request is refused after its latest crash. */
+  /** Refusal period: how long the request is refused after its latest crash. */
   termMilliseconds: number;
   /** When the refusal ends, monotonic milliseconds. */
   endsAt: number;
--- a/packages/core/src/crashes/crash_ledger.ts
+++ b/packages/core/src/crashes/crash_ledger.ts
@@ -4,8 +4,9 @@
 import type { CrashReport } from "./crash_report.ts";
 
 /**
- * Leaves time to fix the request at its sender, or the backend server that
- * crashes on it.
+ * How long a request is refused after its first blame (its refusal period):
+ * time to fix the request at its sender, or the backend server that crashes on
+ * it.
  */
 const INITIAL_TERM_MILLISECONDS = 900_000;
 const MAX_TERM_MILLISECONDS = 86_400_000;
@@ -27,10 +28,11 @@
 
 type Options = {
   /**
-   * Reports of one crash arrive from several hosts within this time. A suspect
-   * is blamed only once this long has passed since its latest new crash.
+   * A suspect is blamed only once this long has passed since its latest new
+   * crash, so that all reports of that crash, or the decision of another host,
+   * can arrive first.
    */
-  settleMilliseconds: number;
+  decisionDelayMilliseconds: number;
 };
 
 /**
@@ -60,7 +62,7 @@
     this.#options = options;
   }
 
-  /** Whether any request is refused, or has a trial run after its term. */
+  /** Whether any blame is stored, also one whose refusal period has ended. */
   get hasBlamed(): boolean {
     return this.#blamed.size > 0;
   }
@@ -84,7 +86,7 @@
   /** Blames the requests with sufficient evidence, and returns these blames. */
   blameSuspects(now: number): Blame[] {
     const newBlames: Blame[] = [];
-    for (const [fingerprint, evidence] of this.#settledSuspects(now)) {
+    for (const [fingerprint, evidence] of this.#decidableSuspects(now)) {
       // Blaming an earlier suspect took its crashes off the others' evidence.
       if (evidence.weight < CRASHES_TO_BLAME) continue;
       const { incarnations } = evidence;
@@ -117,16 +119,16 @@
    */
   mergeBlame(blame: Blame): boolean {
     const known = this.#blamed.get(blame.fingerprint);
-    const isNews = known === undefined || known.crashes < blame.crashes;
-    if (isNews) this.#recordBlame(blame);
-    return isNews;
+    const isNewer = known === undefined || known.crashes < blame.crashes;
+    if (isNewer) this.#recordBlame(blame);
+    return isNewer;
   }
 
   /**
    * Returns the blame for which a request must be refused now; undefined if it
-   * may run. After the term, one run is admitted as a trial. Others are refused
-   * until that run succeeds and `clear` is called, or until the trial times
-   * out.
+   * may run. After the refusal period, one run is admitted as a trial. Others
+   * are refused until that run succeeds and `clear` is called, or until the
+   * trial times out.
    */
   checkBlame(fingerprint: string, now: number): Blame | undefined {
     const blame = this.#blamed.get(fingerprint);
@@ -137,15 +139,15 @@
   }
 
   /** Whether the request is refused now. Doesn't start a trial. */
-  isBlamed(fingerprint: string, now: number): boolean {
+  isRefused(fingerprint: string, now: number): boolean {
     const blame = this.#blamed.get(fingerprint);
     return blame !== undefined && now < blame.endsAt;
   }
 
   /**
-   * Whether a host may retry the request on its own. The attempt that could
-   * cause the last crash needed for a blame is left to the client, which may
-   * never send the request again.
+   * Whether a host may retry the request on its own: not once one more crash
+   * could be enough to blame it. Another attempt is then left to the client,
+   * which may not make one.
    */
   mayRetry(fingerprint: string): boolean {
     return this.evidenceWeightOf(fingerprint) < CRASHES_TO_BLAME - 1;
@@ -177,7 +179,11 @@
     return this.#suspects.get(fingerprint)?.incarnations ?? [];
   }
 
-  /** Drops outdated suspects and blames; to be called periodically. */
+  /**
+   * Drops suspects without a new crash for `EVIDENCE_RETENTION_MILLISECONDS`,
+   * 10 minutes, and blames that ended longer ago than their refusal period; to
+   * be called periodically.
+   */
   expire(now: number): void {
     for (const [fingerprint, { lastReportedAt }] of [...this.#suspects]) {
       const isOld = now - lastReportedAt > EVIDENCE_RETENTION_MILLISECONDS;
@@ -190,11 +196,11 @@
     }
   }
 
-  #settledSuspects(now: number): [string, CrashEvidence][] {
+  #decidableSuspects(now: number): [string, CrashEvidence][] {
     return [...this.#suspects]
       .filter(([fingerprint, { weight, lastReportedAt }]) =>
         weight >= CRASHES_TO_BLAME &&
-        now - lastReportedAt >= this.#options.settleMilliseconds &&
+        now - lastReportedAt >= this.#options.decisionDelayMilliseconds &&
         !this.#blamed.has(fingerprint)
       )
       .sort(([, left], [, right]) =>
@@ -215,9 +221,10 @@
   }
 
   /**
-   * Counts another crash under a blamed request that was still in flight, or
-   * ran as a trial, on some host. If no more than the time of a trial is left
-   * until `endsAt`, this counts as a failed trial and doubles the term.
+   * Counts another crash during which a blamed request was in flight, as a
+   * trial or because some host still had it running. If no more than the time
+   * of a trial is left until `endsAt`, this counts as a failed trial and
+   * doubles the refusal period.
    */
   #extendBlame(blame: Blame, incarnation: string, now: number): void {
     const wasTrialRun = blame.endsAt - now <= TRIAL_MILLISECONDS;
--- a/packages/core/src/gateway/answer_metadata.ts
+++ b/packages/core/src/gateway/answer_metadata.ts
@@ -9,13 +9,20 @@
    * server's own.
    */
   isSigned: boolean;
-  /** Version of the weights that generation started with. */
+  /**
+   * Version of the weights that generation started with; undefined if not
+   * stated.
+   */
   weightsVersion: number | undefined;
   /**
    * Requests per second that the backend server accepts from all hosts
-   * together; undefined for no limit.
+   * together; undefined if the response states no limit, which ends an earlier
+   * limit only if `isSigned`.
    */
   limitPerSecond: number | undefined;
-  /** Requests running and waiting at the backend server, and its slots. */
+  /**
+   * Requests running and waiting at the backend server, and its slots;
+   * undefined if not reported.
+   */
   load: { running: number; waiting: number; slots: number } | undefined;
 };
--- a/packages/core/src/gateway/backend_record.ts
+++ b/packages/core/src/gateway/backend_record.ts
@@ -1,7 +1,10 @@
 type ReportedLoad = { running: number; waiting: number; slots: number };
 
-/** Maximum age of a load report on arrival. */
-const MAX_REPORT_DELAY_MILLISECONDS = 200;
+/**
+ * How long send times are kept: longer than the age of any load report on
+ * arrival, which is at most 100 ms.
+ */
+const SEND_TIME_RETENTION_MILLISECONDS = 200;
 /** Weight of the latest result in the moving average of failures. */
 const LATEST_RESULT_WEIGHT = 0.25;
 /** A backend server whose failure rate reaches this value is ejected. */
@@ -48,8 +51,8 @@
 
 /**
  * Load, health and timing of one backend server as seen by this host: from its
- * own requests to the backend server, and from the load reports of the backend
- * server and of the agent next to it.
+ * own requests to the backend server, and from the load reports in its
+ * responses and those of its stager.
  */
 export class BackendRecord {
   /** Requests from this host in flight to the backend server. */
@@ -58,7 +61,7 @@
   pendingPromptTokens = 0;
   /**
    * In-flight requests without a response yet that were expected to meet their
-   * target. The backend server's queue serves them before late ones.
+   * target time. The backend server's queue serves them before late ones.
    */
   timelyUnanswered = 0;
   /**
@@ -73,7 +76,7 @@
   meanPendingPromptTokens = 0;
   /**
    * Share of this host's in-flight requests to the service, 0 to 1, that were
-   * expected to meet their target and have no response yet.
+   * expected to meet their target time and have no response yet.
    */
   timelyUnansweredShare = 0;
   #slotHoldMilliseconds = INITIAL_SLOT_HOLD_MILLISECONDS;
@@ -98,8 +101,8 @@
   /**
    * Stores a load report.
    *
-   * @param age age of the report on arrival, milliseconds. It does not include
-   * requests sent within that time.
+   * @param age milliseconds since the report's data was measured. Requests sent
+   * since then are not in the report and are added.
    */
   recordReport(report: ReportedLoad, now: number, age = 0): void {
     const reportedAt = now - age;
@@ -150,7 +153,7 @@
   recordSend(now: number): void {
     if (this.inFlight === 0) this.#busySince = now;
     this.#recentSendTimes = this.#recentSendTimes.filter((sentAt) =>
-      sentAt > now - MAX_REPORT_DELAY_MILLISECONDS
+      sentAt > now - SEND_TIME_RETENTION_MILLISECONDS
     );
     this.#recentSendTimes.push(now);
   }
@@ -213,7 +216,10 @@
     this.#isHalfOpen = false;
   }
 
-  /** Records a success; a low failure rate resets the ejection time. */
+  /**
+   * Records a success. A low failure rate resets the length of the next
+   * ejection to that of the first.
+   */
   recordSuccess(): void {
     this.#failureRate *= 1 - LATEST_RESULT_WEIGHT;
     if (this.#failureRate < MAX_FAILURE_RATE / 4) {
--- a/packages/core/src/limits/limit_allotter.ts
+++ b/packages/core/src/limits/limit_allotter.ts
@@ -5,8 +5,20 @@
 import type { HostAllotmentRow } from "./host_allotment_row.ts";
 import { hostCeiling } from "./host_ceiling.ts";
 
+/**
+ * How long a host may use an allotted rate even above its floor, counted from
+ * when it sent its report.
+ */
 const GRANT_MILLISECONDS = 1_500;
+/**
+ * How long a host admits no more than the allotted rate, counted from when it
+ * received the allotment.
+ */
 const CAP_MILLISECONDS = 4_000;
+/**
+ * How long after its latest report a host counts as live, and changes wait for
+ * it.
+ */
 const LEASE_MILLISECONDS = 2_000;
 /**
  * Fraction of a contract's rate reserved for idle hosts, so that a first call
@@ -168,7 +180,8 @@
         (this.#hosts.get(host)!.demands.get(workspace) ?? 0) * HEADROOM_FACTOR,
       ),
     }));
-    // What nobody asked for stays out, or each report would move it around.
+    // Both branches give `total`, so a rate that no host demands is divided
+    // equally among the live hosts.
     const totalDemand = demands.reduce((sum, demand) => sum + demand.rate, 0);
     const shares = divideByDemand(
       Math.max(0, totalDemand < total ? total : Math.min(total, totalDemand)),
--- a/packages/core/src/spread/spread_table.ts
+++ b/packages/core/src/spread/spread_table.ts
@@ -16,7 +16,13 @@
 
 type Transfer = ChunkAssignment & { startedAt: number };
 
-/** Tracks one version's spread as known to one data centre's coordinator. */
+/**
+ * Tracks one version's spread as known to one data centre's coordinator.
+ *
+ * Hosts exchange whole blocks (see `WeightBlocks`). What is called a chunk
+ * here, in the policies and in the rankings is therefore one block, by its
+ * index, and `chunkBytes` is the size of a full block.
+ */
 export class SpreadTable {
   readonly version: string;
   readonly totalChunks: number;
@@ -81,8 +87,8 @@
   }
 
   /**
-   * Whether every chunk has left the origin, so that a host in this data centre
-   * or in a remote one holds it.
+   * Whether each chunk is held by at least one host, in this data centre or in
+   * a remote one, and so has left the origin.
    */
   get isEveryChunkHeld(): boolean {
     return this.#localHolders.every((holders, chunk) =>
@@ -187,8 +193,9 @@
   }
 
   /**
-   * Ends a transfer that its host reported as failed. The host avoids the
-   * source until `times.until`, or for a shorter time if it is the origin.
+   * Ends a transfer that its host reported as failed. The host then avoids the
+   * source at least until `times.until`, or the origin for 300 ms if that is
+   * sooner; see `SourceFaults` for when all hosts avoid a source.
    */
   failTransfer(
     host: string,
--- a/packages/core/src/state/decide_numbered_change.ts
+++ b/packages/core/src/state/decide_numbered_change.ts
@@ -5,15 +5,16 @@
 type Decision =
   | { kind: "apply"; number: number; history: NumberedRow["history"] }
   | { kind: "repeated"; number: number }
-  | { kind: "lost" };
+  | { kind: "superseded" };
 
 /**
  * Decides an operator's change to a row by optimistic concurrency: `expected`
  * is the number of the row that the change replaces. Two operators can change
  * the same row at once, and a client that did not receive its answer resends
  * its change. A change whose number and digest are in the row's history is such
- * a resend and gets the same answer ("repeated"). Any other change that does
- * not replace the current number fails ("lost").
+ * a resend ("repeated"): it is accepted without effect, and answered with the
+ * current row, which may be newer. Any other change that does not replace the
+ * current number fails ("superseded").
  */
 export function decideNumberedChange(
   row: NumberedRow | undefined,
@@ -33,5 +34,5 @@
   const recorded = row?.history.find((change) => change.number === number);
   return recorded?.digest === digest
     ? { kind: "repeated", number }
-    : { kind: "lost" };
+    : { kind: "superseded" };
 }
--- a/packages/daemon/src/transport/rollout_links.ts
+++ b/packages/daemon/src/transport/rollout_links.ts
@@ -197,7 +197,7 @@
   #mayOpenNextStream(): boolean {
     const openings = this.#links
       .filter(({ outgoing }) => outgoing !== undefined)
-      .map(({ openedAt, host }) => ({ openedAt, isHeard: host !== "" }));
+      .map(({ openedAt, host }) => ({ openedAt, hasReceived: host !== "" }));
     return mayOpenNextStream(openings, monotonicMilliseconds());
   }
 
