--- a/packages/experiments/src/failures/at_most_once_test.ts
+++ b/packages/experiments/src/failures/at_most_once_test.ts
@@ -20,11 +20,11 @@
 test("killed or frozen processes and silent links never run a call twice", async () => {
   // Guards against a call that runs twice, or runs after it was reported not
   // run. During unrepeatable calls an agent, an entry host and a control host
-  // are killed and restarted, another agent is frozen past its callers'
-  // patience, and open connections between data centres go silent. Callers
-  // whose outcome is unknown retry through other entry hosts. The services'
-  // own records must show each call at most once, and none that was reported
-  // as not run.
+  // are killed and restarted, another agent is frozen for 2.1 s of its callers'
+  // deadline of 3 s, and open connections between data centres go silent.
+  // Callers whose outcome is unknown retry through other entry hosts. The
+  // services' own records must show each call at most once, and none that was
+  // reported as not run.
   await withSystem({ withRelays: true }, async (system) => {
     const { cluster } = system;
     const load = system.startLoad(LEDGER_LOAD);
@@ -55,9 +55,10 @@
 });
 
 test("an idempotency key runs one call, and a different body is refused", async () => {
-  // Guards against duplicates of one idempotency key: two entry hosts get the
-  // same call at the same time, a third gets it later, and a fourth gets the
-  // key with another body.
+  // Guards against a payment that runs twice, and against an answer to another
+  // call: a caller sends the same call through two entry hosts at the same time
+  // and through a third one later, then reuses its key for another body through
+  // a fourth.
   await withSystem({}, async (system) => {
     const sendPayment = (index: number, body: string) =>
       sendRequest(`${system.cluster.publicUrl(index)}/v1/services/ledger/pay`, {
--- a/packages/experiments/src/failures/bad_input_test.ts
+++ b/packages/experiments/src/failures/bad_input_test.ts
@@ -5,7 +5,10 @@
 import { sendRequest } from "./send_request.ts";
 import { withSystem } from "./with_system.ts";
 
-/** Sends raw text over TCP and returns all data received until the close. */
+/**
+ * Sends raw text to the host and port of a URL, and returns all data received
+ * until the connection is closed.
+ */
 function sendRaw(address: string, text: string): Promise<string> {
   const { hostname, port } = new URL(address);
   return new Promise((resolve) => {
@@ -22,6 +25,10 @@
 }
 
 test("invalid input is refused with the field at fault, and the host keeps serving", async () => {
+  // Guards against an entry host that crashes on a caller's faulty input, or
+  // refuses it without saying what to correct: callers and operators send
+  // invalid fields, a body that is too large, headers that are too large, bytes
+  // that are no HTTP, and a body that stops halfway.
   await withSystem({}, async (system) => {
     const entry = system.cluster.publicUrl(0);
     const ledger = `${entry}/v1/services/ledger/pay`;
--- a/packages/experiments/src/failures/chunk_sources_test.ts
+++ b/packages/experiments/src/failures/chunk_sources_test.ts
@@ -140,6 +140,9 @@
 });
 
 test("the origin's damaged chunks are rejected until it sends undamaged ones", async () => {
+  // Guards against verifying only chunks from peers, and against an origin that
+  // is never asked again: its disk damages one bit of each chunk, and is
+  // repaired later.
   await withChunkFetchFixture(
     (_request, response) => response.end(),
     async (fixture) => {
@@ -155,6 +158,8 @@
 });
 
 test("a fetch from a peer that stalls without closing times out", async () => {
+  // Guards against a fetch that never ends and blocks the spread: a peer sends
+  // 10 bytes of a chunk, then nothing, and keeps the connection open.
   const stalling: RequestListener = (_request, response) => {
     response.writeHead(200, { "Content-Length": WEIGHTS_SHAPE.chunkBytes });
     response.write(Buffer.alloc(10));
--- a/packages/experiments/src/failures/claim_steps_test.ts
+++ b/packages/experiments/src/failures/claim_steps_test.ts
@@ -190,6 +190,12 @@
   }
 }
 
+/**
+ * Runs one test on a log, an agent and a service of its own. Most of the tests
+ * fail one step of an unrepeatable call, then retry the call with the same
+ * idempotency key through a new entry host. They guard against a call that runs
+ * twice, or that is reported as not run although it ran or may still run.
+ */
 function testClaim(
   name: string,
   scenario: (fixture: ClaimFixture) => Promise<void>,
@@ -223,7 +229,7 @@
 );
 
 testClaim(
-  "the claim's proposal is lost before it is applied",
+  "the claim's proposal is lost before it is applied: unknown, then run once on a retry",
   async (fixture) => {
     fixture.log.faults = { claim: "proposal-lost" };
     assert.equal(await fixture.sendCall(), "unknown");
@@ -232,20 +238,23 @@
   },
 );
 
-testClaim("the claim is applied but the reply is lost", async (fixture) => {
-  // Guards against a claim that blocks its key for good: the entry host does
-  // not learn that the claim was accepted, or dies at that moment. On the
-  // retry the agent tombstones the old claim, which then never runs, and the
-  // call is claimed again.
-  fixture.log.faults = { claim: "reply-lost" };
-  assert.equal(await fixture.sendCall(), "unknown");
-  assert.equal(fixture.runCount, 0);
-  assert.equal(await fixture.sendCall(), ANSWER);
-  assert.equal(fixture.runCount, 1);
-});
+testClaim(
+  "the claim is applied but the reply is lost: unknown, then run once on a retry",
+  async (fixture) => {
+    // Guards against a claim that blocks its key for good: the entry host does
+    // not learn that the claim was accepted, or dies at that moment. On the
+    // retry the agent tombstones the old claim, which then never runs, and the
+    // call is claimed again.
+    fixture.log.faults = { claim: "reply-lost" };
+    assert.equal(await fixture.sendCall(), "unknown");
+    assert.equal(fixture.runCount, 0);
+    assert.equal(await fixture.sendCall(), ANSWER);
+    assert.equal(fixture.runCount, 1);
+  },
+);
 
 testClaim(
-  "the caller's deadline passes while the call runs",
+  "the deadline passes while the call runs: unknown, then answered on a retry",
   async (fixture) => {
     assert.equal(await fixture.sendCall(30), "unknown");
     assert.equal(await fixture.sendCall(), ANSWER);
@@ -254,7 +263,7 @@
 );
 
 testClaim(
-  "the record of the outcome is lost before it is applied",
+  "the record of the outcome is lost before it is applied: unknown, then answered on a retry",
   async (fixture) => {
     fixture.log.faults = { "settle-claim": "proposal-lost" };
     assert.equal(await fixture.sendCall(), "unknown");
@@ -264,7 +273,7 @@
 );
 
 testClaim(
-  "the outcome is recorded but the reply is lost",
+  "the outcome is recorded but the reply is lost: unknown, then answered on a retry",
   async (fixture) => {
     fixture.log.faults = { "settle-claim": "reply-lost" };
     assert.equal(await fixture.sendCall(), "unknown");
@@ -273,27 +282,34 @@
   },
 );
 
-testClaim("the agent is killed before the call reaches it", async (fixture) => {
-  fixture.killAgent();
-  assert.equal(await fixture.sendCall(2_000), "unknown");
-  await fixture.startAgent("second");
-  // Only the killed process knew whether the call had run.
-  assert.equal(await fixture.sendCall(), "unknown");
-  assert.equal(fixture.runCount, 0);
-});
+testClaim(
+  "the agent is killed before the call reaches it: unknown, never run",
+  async (fixture) => {
+    fixture.killAgent();
+    assert.equal(await fixture.sendCall(2_000), "unknown");
+    await fixture.startAgent("second");
+    // Only the killed process knew whether the call had run.
+    assert.equal(await fixture.sendCall(), "unknown");
+    assert.equal(fixture.runCount, 0);
+  },
+);
 
-testClaim("the agent is killed while the call runs", async (fixture) => {
-  const asking = fixture.sendCall(2_000);
-  while (fixture.runCount === 0) await pause(2);
-  fixture.killAgent();
-  assert.equal(await asking, "unknown");
-  await fixture.startAgent("second");
-  assert.equal(await fixture.sendCall(), "unknown");
-  assert.equal(fixture.runCount, 1);
-}, LONG_CALL_MILLISECONDS);
+testClaim(
+  "the agent is killed while the call runs: unknown, not run again",
+  async (fixture) => {
+    const asking = fixture.sendCall(2_000);
+    while (fixture.runCount === 0) await pause(2);
+    fixture.killAgent();
+    assert.equal(await asking, "unknown");
+    await fixture.startAgent("second");
+    assert.equal(await fixture.sendCall(), "unknown");
+    assert.equal(fixture.runCount, 1);
+  },
+  LONG_CALL_MILLISECONDS,
+);
 
 testClaim(
-  "the agent is killed after the answer was recorded",
+  "the agent is killed after the answer was recorded: a retry gets the answer",
   async (fixture) => {
     assert.equal(await fixture.sendCall(), ANSWER);
     fixture.killAgent();
--- a/packages/experiments/src/failures/control_failures_test.ts
+++ b/packages/experiments/src/failures/control_failures_test.ts
@@ -36,7 +36,7 @@
   return leader;
 }
 
-test("a frozen leader accepts nothing and gives no stale answers", async () => {
+test("a leader that was frozen marks no stale contract as current", async () => {
   // Guards against stale reads: the leader is frozen for longer than the
   // election timeout, as a paused machine is; another host is elected and a
   // contract changes. Once the old leader runs again, an answer that it marks
@@ -137,6 +137,10 @@
 });
 
 test("of two changes under one number, one wins and the other gets the current row", async () => {
+  // Guards against a lost update: two operators replace the same number of a
+  // contract at the same time, through different entry hosts, and the second
+  // change overwrites the first. Also guards against refusing an operator who
+  // repeats an accepted change because its answer was lost.
   await withSystem({}, async (system) => {
     const change = (host: string, rate: string) =>
       system.runClientAt(host, [
@@ -156,7 +160,8 @@
     const rateShownToLoser =
       JSON.parse(loser.output).stands.content.requests_per_second;
     assert.equal(rateShownToLoser, winnerRate);
-    // As if the winner's answer was lost: repeat its command on another host.
+    // The winner's command is repeated on another host, as if its answer had
+    // been lost.
     const again = await change("kel-1", String(winnerRate));
     assert.equal(again.exitStatus, 0);
     assert.equal(JSON.parse(again.output).stands.number, 2);
--- a/packages/experiments/src/failures/crashing_calls_test.ts
+++ b/packages/experiments/src/failures/crashing_calls_test.ts
@@ -194,8 +194,8 @@
   }) as unknown as ServerResponse;
 }
 
-// Guards against a call that reaches one backend server after the other through
-// entry hosts and agents, and crashes each.
+// Guards against a call that crashes all backend servers of a service: its
+// caller retries through every entry host, and each sends it to another server.
 test("a call that crashes backend servers is refused by every entry host", async () => {
   const fixture = new CrashFixture();
   try {
--- a/packages/experiments/src/failures/engine_loading_test.ts
+++ b/packages/experiments/src/failures/engine_loading_test.ts
@@ -50,6 +50,8 @@
 }
 
 test("an engine that reports a load as done too early gets no calls until it is done", async () => {
+  // Guards against answers from incomplete weights: an engine names version 2
+  // as its version while it still receives the weights.
   await withAgentFixture(true, async (fixture) => {
     fixture.setCompleteTarget("1");
     assert.ok(await fixture.waitUntilServing("1"));
@@ -62,6 +64,9 @@
 });
 
 test("a load that fails is retried, and no wrong answer is served", async () => {
+  // Guards against a replica that stays without weights, and against answers of
+  // version 1 that are labeled as 2: the engine accepts the order to load
+  // version 2, but keeps the weights of version 1.
   await withAgentFixture(true, async (fixture) => {
     fixture.setCompleteTarget("1");
     assert.ok(await fixture.waitUntilServing("1"));
--- a/packages/experiments/src/failures/live_requests_test.ts
+++ b/packages/experiments/src/failures/live_requests_test.ts
@@ -90,6 +90,9 @@
 });
 
 test("a drained backend server gets no new work and finishes its own", async () => {
+  // Guards against answers lost at maintenance, and against entry hosts that
+  // keep sending to a drained server: an operator drains one of three engines
+  // under load. Soon after, it must be idle, and every call must be answered.
   await withSystem({}, async (system) => {
     await system.measureSpread("1", 3);
     const load = system.startLoad(MODEL_LOAD);
--- a/packages/experiments/src/failures/partition_test.ts
+++ b/packages/experiments/src/failures/partition_test.ts
@@ -33,10 +33,10 @@
 
 test("a partitioned data centre refuses changes, serves model calls, and catches up", async () => {
   // Guards against a split brain: a switch drops all packets between one data
-  // centre and the rest. Its entry host must refuse changes and unrepeatable
-  // calls as not run, and still answer model calls from its own engine. The
-  // other data centres keep accepting changes. Once the partition heals, every
-  // accepted change must still be there.
+  // centre and the rest. That data centre's entry host must refuse changes and
+  // unrepeatable calls, run none of them, and still answer model calls from its
+  // own engine. The other data centres keep accepting changes. Once the
+  // partition heals, every accepted change must still be there.
   await withSystem({ withRelays: true }, async (system) => {
     await system.measureSpread("1", 3);
     const partitionedUrl = system.entryUrl("pgr-1");
@@ -55,7 +55,8 @@
       },
     );
     assert.equal(claim.status, 503);
-    // This host can't know whether the key ran elsewhere before the partition.
+    // This host can't know whether a call under this key ran through another
+    // entry host before the partition, so it doesn't report "not-run".
     assert.equal(claim.outcome, "unknown");
     assert.ok(Number(claim.retryAfter) >= 1);
     const model = await sendRequest(
@@ -90,8 +91,9 @@
 
 test("a one-way partition and a flapping link lose no accepted change", async () => {
   // Guards against the loss of accepted changes: a data centre can't open
-  // connections to the others, but they can to it; then its link fails and
-  // recovers repeatedly. Each change whose command succeeded must be kept.
+  // connections to the others, while the others can open connections to it;
+  // then its link fails and recovers repeatedly. Each change whose command
+  // succeeded must be kept.
   await withSystem({ withRelays: true }, async (system) => {
     const { mesh } = system.cluster;
     mesh.cutOutgoing("kel");
--- a/packages/experiments/src/failures/spread_failures_test.ts
+++ b/packages/experiments/src/failures/spread_failures_test.ts
@@ -11,7 +11,7 @@
 const LIVE_TIMEOUT_MILLISECONDS = 40_000;
 const HALFWAY_MILLISECONDS = 1_500;
 
-/** Slow enough to cause a fault during a spread: 4 s per host. */
+/** A spread takes at least 4 s per host, so that faults can occur during it. */
 const SLOW_SPREAD = {
   totalBytes: 8 * MEGABYTE,
   hostBytesPerSecond: 2 * MEGABYTE,
@@ -96,8 +96,8 @@
 
 test("a data centre partitioned halfway goes live once the partition heals", async () => {
   // Guards against a replica that stays on an old version: halfway through a
-  // spread, all packets to and from one data centre are dropped without notice.
-  // It keeps answering from the old version. Once the partition heals, it
+  // spread, all packets between one data centre and the others are dropped
+  // without notice. Once the partition heals, the replica of that data centre
   // learns the target and must go live on the new version.
   await withSystem({ ...SLOW_SPREAD, withRelays: true }, async (system) => {
     await system.measureSpread("1", 3);
--- a/packages/experiments/src/failures/waiting_calls_test.ts
+++ b/packages/experiments/src/failures/waiting_calls_test.ts
@@ -13,7 +13,7 @@
 const TIMEOUT_MILLISECONDS = 10_000;
 const CALL_MILLISECONDS = 60;
 
-/** Runs a test on a service with one slot and the call runner before it. */
+/** Runs a test on a service with one slot and its agent's call runner. */
 async function withSingleSlotService(
   scenario: (runner: CallRunner, service: FakeService) => Promise<void>,
 ): Promise<void> {
@@ -64,6 +64,8 @@
 }
 
 test("waiting calls run by descending priority, equal ones in order of arrival", async () => {
+  // Guards against urgent calls that wait behind less urgent ones: five calls
+  // arrive at once for one slot. The first runs at once, the others queue.
   await withSingleSlotService(async (runner, service) => {
     for (
       const [body, priority] of [["a", 5], ["b", 1], ["c", 9], ["d", 5], [
--- a/packages/experiments/src/spread/spread_faults_test.ts
+++ b/packages/experiments/src/spread/spread_faults_test.ts
@@ -122,6 +122,9 @@
 });
 
 test("a new coordinator continues from the agents' reports", () => {
+  // Guards against fetching chunks from the origin a second time: a data
+  // centre's coordinator fails in the middle of a spread, and its successor
+  // knows only which chunks the hosts hold.
   const model = createModel(
     48,
     "origin-bytes",
@@ -162,6 +165,9 @@
 });
 
 test("a data centre cut off halfway completes after it is reconnected", () => {
+  // Guards against a spread that never ends in a data centre that was
+  // disconnected from the origin and from all others for a while: the transfers
+  // into it time out and must be planned again.
   let isolatedSteps = 0;
   let lastTimeoutAt = 0;
   const model = createModel(
