--- a/packages/experiments/src/control/contract_changer.ts
+++ b/packages/experiments/src/control/contract_changer.ts
@@ -9,8 +9,12 @@
 /** Changes one contract repeatedly, as an operator's script would. */
 export class ContractChanger {
   readonly accepted: AcceptedChange[] = [];
+  /** Number of attempts that were refused, failed or timed out. */
   refused = 0;
-  /** Number of the contract after the last accepted change. */
+  /**
+   * The contract row's number, which counts its accepted changes. Each change
+   * names it as the number that the change replaces.
+   */
   number = 0;
   #entryUrl: string;
   #workspace: string;
--- a/packages/experiments/src/demo/demo.ts
+++ b/packages/experiments/src/demo/demo.ts
@@ -9,12 +9,12 @@
 const CHUNK_BYTES = MEGABYTE / 2;
 const COMMON_CHUNKS = 24;
 /**
- * Sets the rate limits: in this time the origin can send four copies of the
- * weights, and a host's link can carry two.
+ * Unit of time of the bandwidths: in it, a host link transfers two copies of
+ * the weights and the origin four.
  */
-const SPREAD_SECONDS = 12;
-const HOST_BYTES_PER_SECOND = 2 * TOTAL_BYTES / SPREAD_SECONDS;
-const ORIGIN_BYTES_PER_SECOND = 4 * TOTAL_BYTES / SPREAD_SECONDS;
+const TIME_UNIT_SECONDS = 12;
+const HOST_BYTES_PER_SECOND = 2 * TOTAL_BYTES / TIME_UNIT_SECONDS;
+const ORIGIN_BYTES_PER_SECOND = 4 * TOTAL_BYTES / TIME_UNIT_SECONDS;
 /** How long version 2 spreads before version 3 supersedes it. */
 const SUPERSEDE_DELAY_MILLISECONDS = 3_000;
 const SEED = 20_261_203;
--- a/packages/experiments/src/demo/print_demo_table.ts
+++ b/packages/experiments/src/demo/print_demo_table.ts
@@ -7,6 +7,10 @@
   summary: LoadSummary;
   /** Reported outcomes that contradict the services' own records. */
   runErrors: string[];
+  /**
+   * Lower bounds of the time of a spread, by the origin's bandwidth and by that
+   * of a host's link.
+   */
   bounds: { originSeconds: number; hostSeconds: number };
 };
 
--- a/packages/experiments/src/harness/find_free_addresses.ts
+++ b/packages/experiments/src/harness/find_free_addresses.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * Addresses returned so far. The system may assign a port again once it is
- * free, before the daemon listens on it.
+ * Addresses returned so far, so that none is returned twice: the system may
+ * assign a port again before the daemon listens on it.
  */
 const returnedAddresses = new Set<string>();
 
--- a/packages/experiments/src/harness/find_run_faults.ts
+++ b/packages/experiments/src/harness/find_run_faults.ts
@@ -3,7 +3,7 @@
 /**
  * Compares the outcomes reported to callers of unrepeatable calls with the
  * bodies that the services recorded. Returns a line for each call that ran
- * twice, or whose outcome was reported wrongly.
+ * twice, that ran although it was reported as not run, or the reverse.
  */
 export function findRunErrors(
   summary: LoadSummary,
--- a/packages/experiments/src/harness/relay_mesh.ts
+++ b/packages/experiments/src/harness/relay_mesh.ts
@@ -24,8 +24,8 @@
   }
 
   /**
-   * The setting internal.dial of a process: the relay's address by the internal
-   * address that the relay replaces.
+   * The setting internal.dial of a process. Maps the internal address of each
+   * process in another data centre to the relay through which to connect to it.
    */
   dialOverridesFor(name: string): Record<string, string> {
     return Object.fromEntries(
--- a/packages/experiments/src/harness/running_system.ts
+++ b/packages/experiments/src/harness/running_system.ts
@@ -15,8 +15,8 @@
 import type { Topology } from "./topology.ts";
 import { waitUntil } from "./wait_until.ts";
 
-const READY_MILLISECONDS = 20_000;
-const MILLISECONDS = 1_000;
+const READY_TIMEOUT_MILLISECONDS = 20_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
 type Options = {
   topology: Topology;
@@ -151,15 +151,16 @@
   }
 
   /**
-   * Publishes a version and waits until `replicas` backend servers serve it.
-   * Returns the time that took, and the bytes that the origin sent meanwhile,
-   * in copies of the weights. Throws if it takes longer than 120 s.
+   * Publishes a version and waits until the first entry host reports it live on
+   * `replicas` backend servers. Returns the time from the command until then,
+   * and the bytes that the weight store sent meanwhile, in copies of the
+   * weights. Throws if it takes longer than 120 s.
    */
   async measureSpread(
     version: string,
     replicas: number,
   ): Promise<SpreadResult> {
-    const before = await this.originBytes();
+    const before = await this.fetchOriginBytes();
     const startedAt = performance.now();
     await this.publish(version);
     const name = `${this.#options.model}@${version}`;
@@ -169,15 +170,15 @@
       return row?.version === name && row.live === replicas;
     }, 120_000);
     if (!live) throw new Error(`${name} did not go live`);
-    const bytes = await this.originBytes() - before;
+    const bytes = await this.fetchOriginBytes() - before;
     return {
-      seconds: (performance.now() - startedAt) / MILLISECONDS,
+      seconds: (performance.now() - startedAt) / MILLISECONDS_PER_SECOND,
       originCopies: bytes / this.#options.totalBytes,
     };
   }
 
-  /** Returns how many bytes of weights the origin has sent so far. */
-  async originBytes(): Promise<number> {
+  /** Returns how many bytes of weights the weight store has sent so far. */
+  async fetchOriginBytes(): Promise<number> {
     return Number(await (await fetch(`${this.#storeUrl}/sent`)).text());
   }
 
@@ -203,7 +204,7 @@
         isReady(cluster.publicUrl(index))
       );
       return (await Promise.all(states)).every(Boolean);
-    }, READY_MILLISECONDS);
+    }, READY_TIMEOUT_MILLISECONDS);
     if (!ready) throw new Error("the entry hosts did not become ready");
     const count = cluster.backendServers.length;
     const announced = await waitUntil(async () => {
@@ -215,7 +216,7 @@
       return statuses.every((status) =>
         status?.backend_servers.length === count
       );
-    }, READY_MILLISECONDS);
+    }, READY_TIMEOUT_MILLISECONDS);
     if (!announced) throw new Error("the backend servers did not announce");
   }
 
--- a/packages/experiments/src/heavy/fleet_metrics.ts
+++ b/packages/experiments/src/heavy/fleet_metrics.ts
@@ -9,9 +9,9 @@
   inTime: number;
   late: number;
   refused: number;
-  /** Given up by their callers. */
+  /** Calls that their callers gave up. */
   left: number;
-  /** Refused for good on their second try; included in `refused`. */
+  /** Calls that failed in their second try; included in `refused`. */
   refusedAgain: number;
   /** Time to the first event of calls that had one, milliseconds. */
   firstEventP50: number;
--- a/packages/experiments/src/heavy/fleet_settings_schema.ts
+++ b/packages/experiments/src/heavy/fleet_settings_schema.ts
@@ -14,9 +14,9 @@
   spread: z.number().min(0),
   /** Time to the first event within which a call is timely. */
   target_ms: milliseconds,
-  /** Time after which the caller gives up. */
+  /** Time from the start of a call until its caller gives up. */
   patience_ms: milliseconds,
-  /** Worth of a timely call and of a late one. */
+  /** Worth of a timely call and of a late one, in the same arbitrary unit. */
   worth: z.number().positive(),
   late_worth: z.number().min(0),
 });
@@ -52,7 +52,10 @@
    */
   way_ms: milliseconds,
   crossing_ms: milliseconds,
-  /** Time without a first event after which a caller gives up. */
+  /**
+   * Time from the start of a call until its caller gives up if no event has
+   * arrived in any of its tries.
+   */
   silence_ms: milliseconds,
   kinds: z.array(kindSchema).min(1),
 });
--- a/packages/experiments/src/heavy/fleet_simulation.ts
+++ b/packages/experiments/src/heavy/fleet_simulation.ts
@@ -13,7 +13,7 @@
 import { ModelledEngine } from "./modelled_engine.ts";
 
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Time after the pattern within which the last calls end. */
+/** Time simulated after the pattern, so that the last calls end. */
 const DRAIN_MILLISECONDS = 20_000;
 
 type Options = {
@@ -25,7 +25,10 @@
 
 type Host = { dataCentre: string; dispatcher: Dispatcher };
 
-/** Simulates a modelled fleet under one pattern. */
+/**
+ * Simulates a modelled fleet under one policy and one pattern of load and
+ * outages.
+ */
 export class FleetSimulation {
   #options: Options;
   #events = new EventQueue();
@@ -128,7 +131,11 @@
     };
   }
 
-  /** Log-normal with this mean; half of it as the least. */
+  /**
+   * Draws from a log-normal distribution with this mean, in which `spread` is
+   * the standard deviation of the logarithm. Limits the result to at least 1
+   * and at most three times the mean.
+   */
   #drawTokenCount(mean: number, spread: number): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.#random()));
     const normal = radius * Math.cos(2 * Math.PI * this.#random());
@@ -148,8 +155,8 @@
   }
 
   /**
-   * Samples the load of an engine, delivers it to all hosts after the delay of
-   * reports, and schedules the next sample.
+   * Samples the load of an engine and schedules the next sample. All hosts get
+   * the sample after `told_after_ms`, unless the engine had an outage.
    */
   #sampleLoad(index: number): void {
     const { look_ms, told_after_ms: age = 0 } = this.#options.settings;
--- a/packages/experiments/src/heavy/modelled_caller.ts
+++ b/packages/experiments/src/heavy/modelled_caller.ts
@@ -7,16 +7,19 @@
 import type { EngineRequest } from "./engine_request.ts";
 import type { ModelledEngine } from "./modelled_engine.ts";
 
-/** Callers ask once more, on another host of their data centre. */
+/**
+ * A caller tries at most twice. Each try is sent to a host that is drawn at
+ * random from those of the caller's data centre.
+ */
 const MAX_TRIES = 2;
 /**
- * Callers accept a retry delay of at most this share of their remaining
- * patience.
+ * A caller retries only after a delay of at most this share of the time that it
+ * has left until it gives up.
  */
 const MAX_RETRY_DELAY_SHARE = 1 / 3;
 /**
- * Retry delay given to callers by a host whose engine rejected the request or
- * ended before completing it.
+ * Retry delay that a host gives a caller if the engine rejected the request or
+ * had an outage before it completed the answer.
  */
 const RETRY_DELAY_MILLISECONDS = 300;
 
--- a/packages/experiments/src/heavy/oracle_dispatcher.ts
+++ b/packages/experiments/src/heavy/oracle_dispatcher.ts
@@ -15,8 +15,9 @@
 };
 
 /**
- * Knows the requests of every engine and their remaining tokens at all times.
- * An upper bound for what routing and admission alone can achieve.
+ * A dispatcher that knows the requests of every engine and their remaining
+ * tokens at all times. Its results serve as an upper bound for what routing and
+ * admission alone can achieve.
  */
 export class OracleDispatcher implements Dispatcher {
   #options: Options;
--- a/packages/experiments/src/load/load_summary.ts
+++ b/packages/experiments/src/load/load_summary.ts
@@ -25,5 +25,6 @@
   services: Record<string, ServiceSummary>;
   /** Bodies of unrepeatable calls, by their last reported outcome. */
   unrepeatable: { ran: string[]; notRun: string[]; unknown: string[] };
+  /** A line for each wrong answer and each broken connection. */
   wrongDetails: string[];
 };
--- a/packages/experiments/src/overload/overload_model.ts
+++ b/packages/experiments/src/overload/overload_model.ts
@@ -21,7 +21,7 @@
 const REPORT_INTERVAL_MILLISECONDS = 500;
 const REPORT_LAG_MILLISECONDS = 200;
 const RUN_MILLISECONDS = 30_000;
-const NAIVE_RETRIES = 3;
+const NAIVE_MAX_TRIED_BACKENDS = 3;
 
 type Options = {
   seed: number;
@@ -63,8 +63,10 @@
 
 /**
  * Simulates routing under load: delayed load reports, several entry hosts that
- * know nothing of each other, and for comparison a naive baseline (round robin,
- * unbounded queues, three retries) with the same arrivals.
+ * know nothing of each other, and for comparison a naive baseline with the same
+ * arrivals. The baseline sends calls to the backend servers in turn, its queues
+ * are unbounded, and it retries a failed call until three different backend
+ * servers have been tried.
  */
 export class OverloadModel {
   #options: Options;
@@ -212,7 +214,7 @@
     }
     const mayRetry = usesProduct
       ? entry.retries.tryRetry()
-      : call.tried.size < NAIVE_RETRIES;
+      : call.tried.size < NAIVE_MAX_TRIED_BACKENDS;
     if (mayRetry) {
       this.#counts.retries += 1;
       this.#send(entry, call);
--- a/packages/experiments/src/requests/request_experiment.ts
+++ b/packages/experiments/src/requests/request_experiment.ts
@@ -88,8 +88,9 @@
 }
 
 /**
- * Measures the CPU time of an entry host and an agent per call, and the time
- * that they add to it. Returns whether all calls succeeded.
+ * Measures the CPU time of an entry host and an agent per call. Prints it with
+ * the time of a call through them and the time of a call directly to the
+ * service. Returns whether all measured calls through them succeeded.
  */
 export async function requestExperiment(): Promise<boolean> {
   const system = createPortalSystem();
--- a/packages/experiments/src/spread/compute_spread_bounds.ts
+++ b/packages/experiments/src/spread/compute_spread_bounds.ts
@@ -8,8 +8,8 @@
 };
 
 /**
- * Computes lower bounds of the time of a spread, by the bandwidth that causes
- * them.
+ * Computes lower bounds of the time of a spread, in the unit of time of the
+ * bandwidths. The keys name the bandwidth that causes each bound.
  */
 export function computeSpreadBounds(network: Network): Record<string, number> {
   const {
--- a/packages/experiments/src/spread/fluid_spread_model.ts
+++ b/packages/experiments/src/spread/fluid_spread_model.ts
@@ -131,7 +131,10 @@
     return this.#originChunks / this.#options.chunks;
   }
 
-  /** Mean share of the weights that a host holds, 0 to 1. */
+  /**
+   * Mean share of the weights that the hosts hold, 0 to 1. A removed host
+   * counts as one that holds nothing.
+   */
   get progress(): number {
     let held = 0;
     for (const [host, dataCentre] of this.dataCentreOf) {
--- a/packages/experiments/src/spread/spread_experiment.ts
+++ b/packages/experiments/src/spread/spread_experiment.ts
@@ -18,7 +18,10 @@
 const DATA_CENTRES = ["van", "kel", "pgr"];
 const REPLICA_COUNTS = [3, 6, 12, 24];
 const MODELLED_HOST_COUNTS = [90, 180, 360, 720];
-/** How long the load runs before the spread, for comparison. */
+/**
+ * How long the load runs without a spread, to compare the times of its answers
+ * with those during the spread.
+ */
 const BASELINE_MILLISECONDS = 4_000;
 const SEED = 11;
 
@@ -27,6 +30,7 @@
   objective: string;
   seconds: number;
   originCopies: number;
+  /** Time to an answer without and during the spread, milliseconds. */
   baselineP95: number;
   spreadP95: number;
   /** Wrong and incomplete answers, and calls not run exactly as reported. */
@@ -107,8 +111,9 @@
 
 /**
  * Measures the time until N replicas are live and the copies fetched from the
- * origin, and prints them with lower bounds and the time of the baseline, in
- * which every host fetches from the origin. Then prints the modelled curves.
+ * origin. Prints both with lower bounds, and with the time that a naive spread
+ * would take, in which every host fetches from the origin. Then prints the
+ * modelled curves. Returns whether no answer was wrong.
  */
 export async function spreadExperiment(): Promise<boolean> {
   const rows: Row[] = [];
