--- a/acceptance/src/crashing_requests_test.ts
+++ b/acceptance/src/crashing_requests_test.ts
@@ -11,8 +11,8 @@
 const ATTEMPTS = 14;
 const ATTEMPT_INTERVAL_MILLISECONDS = 300;
 /**
- * Three crashes until the request is blamed, and three more while other gateways
- * have yet to learn of it.
+ * Three crashes until the request is blamed, and three more while the blame has
+ * not reached all gateways.
  */
 const MAX_CRASHES = 6;
 const CHECK_TIMEOUT_MILLISECONDS = 10_000;
@@ -88,14 +88,15 @@
   }
 }
 
-// Guards against a request that crashes each backend server that runs it: as it
-// is sent again to all gateways, it would crash one server after the other.
+// Guards against a request that crashes all backend servers: its client sends
+// the request again and again to all gateways, and each server that runs it
+// crashes.
 test("a request that crashes backend servers is refused by every gateway", async () => {
   await withCrashingEngines(async (system) => {
     const answers = await askGatewaysInTurn(system, ATTEMPTS);
     const crashes = countCrashes(system);
     console.log(`${crashes} crashes in ${ATTEMPTS} attempts`);
-    assert.ok(crashes <= MAX_CRASHES, `${crashes} ends`);
+    assert.ok(crashes <= MAX_CRASHES, `${crashes} crashes`);
     assertRefused(answers.slice(-GATEWAYS));
     for (const gateway of system.gatewayIps) {
       const served = await waitUntil(
@@ -110,8 +111,8 @@
   });
 });
 
-// Guards against forgetting the blame in a power loss of all hosts: learning it
-// again would crash three more backend servers.
+// Guards against a blame that is lost when all hosts lose power: three more
+// backend servers would crash until the request is blamed again.
 test("a request that crashes backend servers is still refused after a power loss", async () => {
   await withCrashingEngines(async (system) => {
     await askGatewaysInTurn(system, ATTEMPTS);
@@ -122,22 +123,28 @@
   });
 });
 
-// Guards against forgetting crashes in a power loss before the request is
-// blamed: as many backend servers would have to crash again.
+// Guards against crashes that are forgotten when all hosts lose power before
+// the request is blamed: counting would start again at zero, and three more
+// backend servers would crash until the blame.
 test("crashes before a blame still count after a power loss", async () => {
   await withCrashingEngines(async (system) => {
     await askGatewaysInTurn(system, 1);
-    assert.equal(countCrashes(system), 2, "the gateway's own second send");
+    assert.equal(
+      countCrashes(system),
+      2,
+      "the gateway sends the request to two engines",
+    );
     await pause(ATTEMPT_INTERVAL_MILLISECONDS);
     await system.restartAll();
     await askGatewaysInTurn(system, ATTEMPTS / 2);
     const crashes = countCrashes(system);
-    assert.ok(crashes <= MAX_CRASHES - 2, `${crashes} ends`);
+    assert.ok(crashes <= MAX_CRASHES - 2, `${crashes} crashes`);
   });
 });
 
-// Guards against a fault that shows only where an answer's head comes first:
-// plain answers come whole or not at all.
+// Guards against counting only crashes during streams, of which the gateway
+// forwards the head before the crash. It buffers plain responses, so the client
+// has received nothing of them at the crash.
 test("a plain request that crashes backend servers is refused as well", async () => {
   await withCrashingEngines(async (system) => {
     system.plainServer.crashingBodies = [CRASH_BODY];
@@ -145,7 +152,7 @@
     assert.ok(system.plainServer.crashCount >= 3);
     assert.ok(
       system.plainServer.crashCount <= MAX_CRASHES,
-      `${system.plainServer.crashCount} ends`,
+      `${system.plainServer.crashCount} crashes`,
     );
     assertRefused(answers.slice(-GATEWAYS));
   });
--- a/acceptance/src/day_result.ts
+++ b/acceptance/src/day_result.ts
@@ -9,12 +9,19 @@
   wronglyBlamed: number;
   /** For each crashing request, how often a backend server crashed under it. */
   crashes: number[];
-  /** For each crashing request, how often it arrived after it had to be known. */
+  /**
+   * For each crashing request, how often it arrived at a backend server later
+   * than 3 s after its third crash, when every gateway had to refuse it.
+   */
   lateArrivals: number[];
-  /** Most arrivals in 4 s at the engine with a limit, while the limit held. */
+  /**
+   * Most arrivals in 4 s at the engine with a limit, from gateways that had to
+   * keep it. Of the day's limits, this is the one with the most arrivals as a
+   * share of those allowed.
+   */
   maxLimitedArrivals: number;
-  /** Arrivals in 4 s that the limit allows, with a tolerance. */
+  /** Allowed arrivals in these 4 s: 1.5 times the limit, plus 5. */
   allowedLimitedArrivals: number;
-  /** Violated requirements, as text. */
+  /** A line for each violated requirement; empty if the day was good. */
   faults: string[];
 };
--- a/acceptance/src/end_to_end_system.ts
+++ b/acceptance/src/end_to_end_system.ts
@@ -9,7 +9,7 @@
 const HEARTBEAT_INTERVAL_MILLISECONDS = 200;
 const CALL_TIMEOUT_MILLISECONDS = 1_000;
 const DEFAULT_ENGINES = 2;
-/** Host indexes of gateways and stagers; those of control hosts start at 0. */
+/** First host indexes of gateways and of stagers; control hosts start at 0. */
 const FIRST_GATEWAY_INDEX = 10;
 const FIRST_STAGER_INDEX = 40;
 
@@ -92,7 +92,10 @@
     );
   }
 
-  /** Kills all control hosts and gateways at once and starts them again. */
+  /**
+   * Kills all control hosts and gateways at once, starts them again and waits
+   * until the gateways are ready. Stagers and backend servers keep running.
+   */
   async restartAll(): Promise<void> {
     const { cluster } = this;
     await cluster.restart([...this.controlNames, ...this.gatewayNames]);
@@ -140,6 +143,7 @@
     return answer.status === 200;
   }
 
+  /** Tells the control hosts which version of the weights engines must load. */
   nameWeights(version: number): Promise<{ status: number; text: string }> {
     return this.callControlHost("POST", "/version-put", {
       model: MODEL,
--- a/acceptance/src/end_to_end_system_test.ts
+++ b/acceptance/src/end_to_end_system_test.ts
@@ -71,9 +71,11 @@
 });
 
 test("a broken stream resumes on another backend server", async () => {
-  // An engine fails in the middle of an event. The client must still receive
-  // each event once, and the end of the stream. If the resumed stream breaks
-  // again, the client must see that the response is broken.
+  // Guards against clients that lose or repeat events, or take a truncated
+  // stream for complete: an engine breaks off in the middle of an event. The
+  // client must still receive each event once, and the end of the stream. If
+  // the resumed stream breaks as well, the client must see that the response is
+  // broken.
   await withSystem(async (system) => {
     for (const engine of system.engines) engine.breakAfterEvents = [3];
     const broken = system.stream("b1");
@@ -93,8 +95,9 @@
 });
 
 test("a stream resumes on another engine when its engine's host freezes", async () => {
-  // A host freezes while it serves streams and gateways keep connections to it.
-  // No error occurs, so each stream, and each request sent there afterwards,
+  // Guards against streams that hang: an engine's host freezes while the engine
+  // serves streams and gateways keep connections to it. No error occurs, so
+  // each of these streams, and each request sent to the engine afterwards,
   // would wait until its client gives up. Within a second, they must resume on
   // another engine after the last event that was forwarded.
   await withSystem(async (system) => {
@@ -213,8 +216,9 @@
 });
 
 test("the header size limit follows the configuration up and down", async () => {
-  // An operator raises the limit. Gateways used to keep the limit that they had
-  // started with, so requests within the new one were refused with 431.
+  // Guards against gateways that keep the limit with which they started: after
+  // an operator raised the limit, they refused requests within the new one with
+  // 431.
   await withSystem(async (system) => {
     const ask = async (id: string, bytes: number) => {
       const headers = { Filler: "x".repeat(bytes) };
@@ -238,9 +242,10 @@
 });
 
 test("a leaving server gets no new requests, and a stopping gateway drains", async () => {
-  // An engine announces that it is leaving while it still serves; within two
-  // seconds all new streams must go to the other engine. Then the gateway is
-  // stopped with SIGTERM during a stream, which must end first.
+  // Guards against responses broken by planned stops. An engine announces that
+  // it is leaving while it still serves; after a second, all new streams must
+  // go to the other engine. Then the gateway is stopped with SIGTERM during a
+  // stream; the stream must end before the gateway exits.
   await withSystem(async (system) => {
     const [leaving, staying] = system.engines;
     system.announceLeaving(leaving!);
--- a/acceptance/src/fake_backend_server.ts
+++ b/acceptance/src/fake_backend_server.ts
@@ -33,7 +33,7 @@
   crashingBodies: readonly string[] = [];
   /** Whether the server has crashed and not yet restarted. */
   isDown = false;
-  /** Requests per second stated in the responses; undefined for no limit. */
+  /** Requests per second announced in responses; undefined for no limit. */
   limitPerSecond: number | undefined;
   /** Requests received; times are from `performance.now()`, milliseconds. */
   readonly arrivals: { id: string; at: number }[] = [];
--- a/acceptance/src/find_arrivals_under_limit.ts
+++ b/acceptance/src/find_arrivals_under_limit.ts
@@ -1,9 +1,12 @@
 import type { LimitPeriod } from "./limit_period.ts";
 
-/** Time from a response with a limit until its gateway must keep the limit. */
-const DELAY_MILLISECONDS = 500;
-/** Time from a limit's start until any gateway has to keep it. */
-const SPREAD_MILLISECONDS = 3_000;
+/**
+ * Time from a request's arrival, whose response announces the limit, until the
+ * request's gateway must keep the limit.
+ */
+const LEARNING_MILLISECONDS = 500;
+/** Time from a limit's start until the first gateway has to keep the limit. */
+const SETTLE_MILLISECONDS = 3_000;
 
 type Observations = {
   period: LimitPeriod;
@@ -14,8 +17,8 @@
 
 /**
  * Lists when requests arrived from gateways that had to keep the limit. A
- * gateway learns of it from a response to one of its requests, and after a
- * restart has to learn of it again.
+ * gateway learns of the limit from a response to one of its requests, and after
+ * a restart has to learn of it again.
  */
 export function findArrivalsUnderLimit(
   { period, arrivals, restarts }: Observations,
@@ -29,8 +32,8 @@
       .filter((restart) => restart.gateway === gateway && restart.at <= at)
       .reduce((latest, restart) => Math.max(latest, restart.at), -Infinity);
     const known = knownFrom.get(gateway) ?? -Infinity;
-    if (known <= startedAt) knownFrom.set(gateway, at + DELAY_MILLISECONDS);
-    else if (at >= known && at >= from + SPREAD_MILLISECONDS) found.push(at);
+    if (known <= startedAt) knownFrom.set(gateway, at + LEARNING_MILLISECONDS);
+    else if (at >= known && at >= from + SETTLE_MILLISECONDS) found.push(at);
   }
   return found;
 }
--- a/acceptance/src/find_day_faults.ts
+++ b/acceptance/src/find_day_faults.ts
@@ -1,8 +1,8 @@
 import type { DayResult } from "./day_result.ts";
 
-/** Allowed arrivals of a request after it is known to crash engines. */
+/** Allowed late arrivals of each crashing request. */
 const MAX_LATE_ARRIVALS = 3;
-/** Share of requests that may be refused because of another request. */
+/** Share of requests that may be refused for crashes that others caused. */
 const MAX_WRONG_BLAME_SHARE = 1 / 200;
 const MIN_SERVED_SHARE = 0.5;
 
--- a/acceptance/src/incident_day.ts
+++ b/acceptance/src/incident_day.ts
@@ -13,14 +13,17 @@
 const CONTROL_HOSTS = 3;
 const ENGINES = 6;
 const DAY_MILLISECONDS = 20_000;
-/** Requests per second, without the crashing ones. */
+/** Mean rate of the requests that crash no engine. */
 const REQUESTS_PER_SECOND = 40;
 const DISRUPTIONS = 4;
 const CRASH_BODIES = ["crash one", "crash two"];
 const MAX_BODY_BYTES = 40_000;
 const STREAM_EVENTS = 8;
-/** Until the parts of a limit are known everywhere. */
-const TOLD_MILLISECONDS = 3_000;
+/**
+ * Time from the third crash under a request until every gateway has to refuse
+ * the request.
+ */
+const BLAME_PROPAGATION_MILLISECONDS = 3_000;
 const WINDOW_MILLISECONDS = 4_000;
 const FREEZE_MILLISECONDS = 1_500;
 
@@ -31,10 +34,10 @@
 };
 
 /**
- * Simulates a day of incidents on loopback with ten unevenly loaded gateways.
- * Requests that crash engines are sent again and again to all gateways, and one
- * engine states limits. Meanwhile hosts and engines fail, and new weights are
- * loaded.
+ * Simulates a day of incidents in 20 s, on loopback with ten unevenly loaded
+ * gateways. Requests that crash engines are sent again and again to all
+ * gateways, and one engine announces limits. Meanwhile four disruptions, drawn
+ * at random, make hosts or engines fail or name new weights.
  */
 export class IncidentDay {
   #seed: number;
@@ -261,10 +264,15 @@
   }
 }
 
-/** Counts arrivals later than 3 s after the third crash under the request. */
+/**
+ * Counts the arrivals of a request later than 3 s after the third crash that it
+ * caused. Returns 0 if it caused fewer than three.
+ */
 function countLate(history: { crashes: number[]; arrivals: number[] }): number {
   const thirdCrash = history.crashes[2] ?? Infinity;
-  return history.arrivals.filter((at) => at > thirdCrash + TOLD_MILLISECONDS)
+  return history.arrivals.filter((at) =>
+    at > thirdCrash + BLAME_PROPAGATION_MILLISECONDS
+  )
     .length;
 }
 
--- a/acceptance/src/incident_day_test.ts
+++ b/acceptance/src/incident_day_test.ts
@@ -4,9 +4,9 @@
 
 const SEED = 1;
 
-// Guards against protections that work only in isolation: refusing requests that
-// crash engines and keeping an engine's limit must also work at the same time,
-// and during kills, freezes and a version change.
+// Guards against protections that work only in isolation: gateways must refuse
+// requests that crash engines and keep an engine's limit at the same time,
+// while processes are killed or frozen and new weights are named.
 test("ten gateways refuse crashing requests and keep limits on a day of incidents", async () => {
   const day = await new IncidentDay(SEED).run();
   console.log(JSON.stringify(day));
--- a/acceptance/src/incident_days.ts
+++ b/acceptance/src/incident_days.ts
@@ -3,8 +3,8 @@
 
 const [firstSeed = "1", count = "30"] = process.argv.slice(2);
 
-// Runs one simulated day after another, one for each seed from the first on.
-// Exits with 1 if a day has faults.
+// Runs one simulated day after another, one for each of `count` seeds from the
+// first on, and prints a line for each. Exits with 1 if a day has faults.
 console.log(
   "seed served refused broken wrong-blame ends late limit troubles | faults",
 );
--- a/acceptance/src/loopback_cluster.ts
+++ b/acceptance/src/loopback_cluster.ts
@@ -9,7 +9,10 @@
 const ROOT = join(dirname(fileURLToPath(import.meta.url)), "..", "..");
 const PROGRAM = join(ROOT, "target", "teaselrouterd.cjs");
 
-/** Second octet of the first host's address; lower ones are in use. */
+/**
+ * Second octet of the first host's address. `findFreeAddresses` returns
+ * addresses with lower ones.
+ */
 const FIRST_HOST_OCTET = 128;
 
 type Role = "control" | "gateway" | "stager";
@@ -56,8 +59,8 @@
   }
 
   /**
-   * Loopback IP address of a host. Each host has its own, also while other tests
-   * run, because some ports are the same on all hosts.
+   * Loopback IP address of a host. Each host has its own, also while other
+   * tests run, because some ports are the same on all hosts.
    */
   hostIp(index: number): string {
     const [first, , third, last] = this.#ip.split(".").map(Number);
--- a/acceptance/src/named_limits_test.ts
+++ b/acceptance/src/named_limits_test.ts
@@ -7,7 +7,10 @@
 const ENGINES = 4;
 const GATEWAYS = 3;
 const INTERVAL_MILLISECONDS = 100;
-/** Interval at which the engines without a limit are half full. */
+/**
+ * Interval between requests at which about half of the slots of the engines
+ * without a limit are in use.
+ */
 const BUSY_INTERVAL_MILLISECONDS = 12;
 const WINDOW_MILLISECONDS = 4_000;
 /** Time from a limit's start until all gateways together have to keep it. */
@@ -46,7 +49,8 @@
 }
 
 // Guards against gateways that together send a backend server more requests than
-// the limit that it states, and against a server that gets no requests at all
+// the limit that it announces, against gateways that keep their part of the
+// limit while they are idle, and against a server that gets no requests at all
 // because of its limit.
 test("a named limit holds over all gateways, follows the traffic, and ends", async () => {
   const system = new EndToEndSystem({ engines: ENGINES, gateways: GATEWAYS });
@@ -70,7 +74,10 @@
     console.log(`limit 1/s: ${maxArrivals} arrivals in the fullest 4 s`);
     assert.ok(maxArrivals <= maxAllowed(1), `${maxArrivals} in 4 s`);
     assert.ok(maxArrivals >= 2, "it is not starved");
-    assert.ok(statuses.every((status) => status === 200), "others had room");
+    assert.ok(
+      statuses.every((status) => status === 200),
+      "a request failed although other engines had room",
+    );
 
     // One busy gateway among idle ones gets nearly the whole limit.
     limitedEngine!.limitPerSecond = 2;
@@ -96,7 +103,7 @@
     const before = limitedEngine!.arrivals.length;
     await sendSteadily(system, unlimitedLoad);
     const after = limitedEngine!.arrivals.length - before;
-    assert.ok(after >= 8, `${after} in 2 s behind the limit`);
+    assert.ok(after >= 8, `${after} in 2 s after the limit ended`);
   } finally {
     await system.stop();
   }
