--- a/tools/launch.cjs
+++ b/tools/launch.cjs
@@ -10,7 +10,7 @@
 const bundle = join(__dirname, "teaselrouterd.bundle.cjs");
 const codeCache = join(__dirname, "teaselrouterd.bundle.compiled");
 
-/** @returns undefined without a cache: the bundle also runs without one. */
+/** @returns undefined if there is no cache: the bundle runs without one too. */
 function readCodeCache() {
   try {
     return readFileSync(codeCache);
--- a/tools/print_ledger.mjs
+++ b/tools/print_ledger.mjs
@@ -7,7 +7,8 @@
 
 /**
  * Events that cost worth. `after` is how many seconds the effect lasts, counted
- * from the event's start (`at_s`) or end (`to_s`).
+ * from the event's start (`at_s`) or end (`to_s`), as `from` says. A second in
+ * the effect of several events counts for the first of these causes.
  */
 const CAUSES = [
   { name: "final fault", eventKind: /^closing/, from: "at_s", after: 10 },
--- a/tools/run_tests.mjs
+++ b/tools/run_tests.mjs
@@ -18,7 +18,10 @@
     .map((entry) => join(entry.parentPath, entry.name));
 }
 
-/** False for leftovers: the compiler keeps the output of deleted sources. */
+/**
+ * Returns false for the output of a deleted source: the compiler leaves such
+ * output in place.
+ */
 function hasSource(file) {
   const source = file.replace(/\/dist\//, "/src/").replace(/\.js$/, ".ts");
   return existsSync(source);
