--- a/packages/experiments/src/footprint/footprint_experiment.ts
+++ b/packages/experiments/src/footprint/footprint_experiment.ts
@@ -25,8 +25,8 @@
   cpuPercent: number;
   megabytes: number;
   kilobytesPerSecond: number;
-  /** Read and write system calls. */
-  callsPerSecond: number;
+  /** System calls that read or write. */
+  systemCallsPerSecond: number;
 };
 
 type Row = Shape & { run: number; phase: string; role: string; cost: Cost };
@@ -70,13 +70,13 @@
     cpuPercent: perSecond((usage) => usage.cpuSeconds) * 100,
     megabytes: resident / pids.length / 1_000_000,
     kilobytesPerSecond: perSecond((usage) => usage.ioBytes) / 1_000,
-    callsPerSecond: perSecond((usage) => usage.ioCalls),
+    systemCallsPerSecond: perSecond((usage) => usage.ioCalls),
   };
 }
 
 /**
- * Starts `count` agents, many to a process, and waits until the first entry
- * host knows their backend servers.
+ * Starts `count` light agents, which share processes, with their services. Waits
+ * until the first entry host knows their backend servers.
  */
 async function startLightAgents(
   system: RunningSystem,
@@ -227,7 +227,7 @@
         formatRange(costs.map((cost) => cost.cpuPercent), 1),
         formatRange(costs.map((cost) => cost.megabytes), 0),
         formatRange(costs.map((cost) => cost.kilobytesPerSecond), 1),
-        formatRange(costs.map((cost) => cost.callsPerSecond), 0),
+        formatRange(costs.map((cost) => cost.systemCallsPerSecond), 0),
       ];
     }),
   ));
--- a/packages/experiments/src/footprint/run_light_agents.ts
+++ b/packages/experiments/src/footprint/run_light_agents.ts
@@ -7,8 +7,8 @@
 import type { LightAgentsPlan } from "./light_agents_plan.ts";
 
 /**
- * Runs many complete agents in one process. They load the entry hosts as agents
- * in processes of their own would.
+ * Runs many complete agents in one process, each with a fake service. They cause
+ * the same load on the entry hosts as agents in processes of their own.
  */
 const plan = JSON.parse(
   readFileSync(process.argv[2]!, "utf8"),
