--- a/packages/core/src/contracts/contract_changes_test.ts
+++ b/packages/core/src/contracts/contract_changes_test.ts
@@ -27,7 +27,7 @@
   };
 }
 
-test("exactly one of two changes to the same number wins", () => {
+test("exactly one of two changes from the same contract number wins", () => {
   // Two operators change a contract from the same number. One wins; the other
   // gets the current contract as its answer, and none of its change is kept.
   const state = createEmptyControlState();
@@ -36,8 +36,8 @@
   assert.ok(first.accepted);
   assert.ok(!second.accepted);
   assert.equal(second.reason, "number-replaced");
-  const stands = second.value as ContractRow;
-  assert.equal(stands.content.requests_per_second, 10);
+  const current = second.value as ContractRow;
+  assert.equal(current.content.requests_per_second, 10);
 });
 
 test("a resent change gets the same answer and is applied once", () => {
@@ -52,7 +52,7 @@
   assert.equal(state.contracts.get("w")!.content.requests_per_second, 30);
 });
 
-test("only a retirement or a change wins; retired contracts can return", () => {
+test("of a retirement and a change one wins; a retired contract can return", () => {
   const state = createEmptyControlState();
   applyCommand(state, change(0, 10), 1);
   assert.ok(applyCommand(state, change(1, 10, true), 2).accepted);
--- a/packages/core/src/crashes/crash_ledger_test.ts
+++ b/packages/core/src/crashes/crash_ledger_test.ts
@@ -4,13 +4,15 @@
 import { CrashLedger } from "./crash_ledger.ts";
 import type { CrashReport } from "./crash_report.ts";
 
-const SETTLE_MILLISECONDS = 150;
+const DECISION_DELAY_MILLISECONDS = 150;
 const MINUTE_MILLISECONDS = 60_000;
 const LONG_AFTER_MILLISECONDS = 20 * MINUTE_MILLISECONDS;
 const RUNS = 300;
 
 function createLedger(): CrashLedger {
-  return new CrashLedger({ decisionDelayMilliseconds: SETTLE_MILLISECONDS });
+  return new CrashLedger({
+    decisionDelayMilliseconds: DECISION_DELAY_MILLISECONDS,
+  });
 }
 
 /** A report of the request at fault: its answer has just started. */
@@ -34,13 +36,13 @@
 
 function decideFingerprints(
   from: CrashLedger,
-  now = SETTLE_MILLISECONDS,
+  now = DECISION_DELAY_MILLISECONDS,
 ): string[] {
   return from.blameSuspects(now).map(({ fingerprint }) => fingerprint);
 }
 
 // Guards against a request that crashes one backend server after the other.
-test("a request is refused for its term after three backend servers crashed", () => {
+test("a request at three crashes of backend servers is refused for a term", () => {
   const ledger = createLedger();
   reportAll(ledger, ["a", "b"].map((name) => culpritReport(name)));
   assert.deepEqual(decideFingerprints(ledger), []);
@@ -87,10 +89,10 @@
   assert.equal(ledger.clear("stranger"), false);
 });
 
-test("one trial run follows the term, and a crash in it doubles the term", () => {
+test("one trial run follows the term, and a crash in it doubles the next term", () => {
   const ledger = createLedger();
   reportAll(ledger, ["a", "b", "c"].map((name) => culpritReport(name)));
-  const [blame] = ledger.blameSuspects(SETTLE_MILLISECONDS);
+  const [blame] = ledger.blameSuspects(DECISION_DELAY_MILLISECONDS);
   const trialAt = blame!.endsAt + 1;
   assert.equal(ledger.checkBlame("culprit", trialAt), undefined, "the trial");
   assert.ok(
@@ -102,7 +104,7 @@
   assert.equal(again?.termMilliseconds, 2 * blame!.termMilliseconds);
 });
 
-test("two such requests at once are both found", () => {
+test("two requests that crash backend servers at once are both blamed", () => {
   const ledger = createLedger();
   const both = ["a", "b", "c", "d", "e", "f"].flatMap((name, index) => [
     culpritReport(name, index % 2 === 0 ? "first" : "second"),
@@ -139,14 +141,17 @@
 // another order.
 test("reordered, copied or lost reports: only the culprit is blamed", () => {
   const scenario = fc.record({
-    ends: fc.integer({ min: 4, max: 12 }),
+    crashCount: fc.integer({ min: 4, max: 12 }),
     beside: fc.array(fc.nat({ max: 2 ** 20 }), { maxLength: 12 }),
     lost: fc.infiniteStream(fc.nat({ max: 9 })),
     order: fc.infiniteStream(fc.nat({ max: 2 ** 20 })),
   });
   fc.assert(
-    fc.property(scenario, ({ ends, beside, lost, order }) => {
-      const names = Array.from({ length: ends }, (_, index) => `end-${index}`);
+    fc.property(scenario, ({ crashCount, beside, lost, order }) => {
+      const names = Array.from(
+        { length: crashCount },
+        (_, index) => `end-${index}`,
+      );
       const reports = names.flatMap((name, index) => [
         culpritReport(name),
         // Bit `index` of a bystander's number: in flight at that crash.
@@ -178,7 +183,7 @@
   const names = ["a", "b", "c"];
   reportAll(here, names.map((name) => bystanderReport(name)));
   reportAll(there, names.map((name) => culpritReport(name)));
-  for (const blame of there.blameSuspects(SETTLE_MILLISECONDS)) {
+  for (const blame of there.blameSuspects(DECISION_DELAY_MILLISECONDS)) {
     assert.equal(here.mergeBlame(blame), true);
     assert.equal(here.mergeBlame(blame), false);
   }
--- a/packages/core/src/gateway/choose_backend_test.ts
+++ b/packages/core/src/gateway/choose_backend_test.ts
@@ -68,7 +68,7 @@
   assert.equal(choose(far, { instance: "near", inFlight: 8 }), "far");
 });
 
-test("a free remote slot is preferred to waiting for a local one", () => {
+test("a free remote slot is preferred to waiting for a local slot", () => {
   // The load of one data centre exceeds the capacity of its engines, while the
   // engines of another have some capacity left.
   const far = { instance: "far", dataCentre: "there", inFlight: 12 };
--- a/packages/core/src/gateway/patience_estimator_test.ts
+++ b/packages/core/src/gateway/patience_estimator_test.ts
@@ -53,11 +53,11 @@
   const random = createSeededRandom(7);
   const patience = new PatienceEstimator();
   const draw = () => 5_100 + 900 * random();
-  let returning = 0;
+  let misjudged = 0;
   for (let first = 0; first < 2_000; first += 1) {
-    if (patience.estimateSpentMilliseconds(ROUTE, draw()) > 0) returning += 1;
+    if (patience.estimateSpentMilliseconds(ROUTE, draw()) > 0) misjudged += 1;
   }
-  assert.ok(returning < 20, `${returning} of 2,000`);
+  assert.ok(misjudged < 20, `${misjudged} of 2,000`);
   assert.ok(patience.estimateSpentMilliseconds(ROUTE, draw() - 1_500) > 500);
 });
 
--- a/packages/core/src/gateway/retry_after_test.ts
+++ b/packages/core/src/gateway/retry_after_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { retryAfter } from "./retry_after.ts";
 
-test("after an outage clients retry late in a third of their patience", () => {
+test("after an outage clients retry late in the first third of their patience", () => {
   // All hosts lost power and refuse all requests for two seconds while they
   // start. A client has one more try: it must not retry during the same outage,
   // and not all clients may retry at the same moment.
@@ -25,7 +25,7 @@
 test("clients of overloaded engines retry when the overload may be over", () => {
   // After the last fault of an incident the engines are full for two seconds.
   // Refused clients retried after half a second, within the same two seconds,
-  // and were refused for the last time.
+  // were refused again, and had no attempt left.
   const at = (random: number) =>
     retryAfter({ cause: "overload", patienceMilliseconds: 6_000, random });
   assert.ok(at(0) < 2_000);
--- a/packages/core/src/gateway/update_assumed_load_test.ts
+++ b/packages/core/src/gateway/update_assumed_load_test.ts
@@ -5,7 +5,7 @@
 import { chooseBackend } from "./choose_backend.ts";
 import { updateAssumedLoad } from "./update_assumed_load.ts";
 
-function createChoice(instance: string): BackendCandidate {
+function createCandidate(instance: string): BackendCandidate {
   return {
     record: new BackendRecord(),
     announcement: {
@@ -42,7 +42,7 @@
 // requests; this host sends no requests to it, and so gets no load reports from
 // it. After 1.5 s that engine looked empty, and got all requests of this host.
 test("a full engine without a recent load report does not look empty", () => {
-  const engines = ["a", "b", "c", "d"].map(createChoice);
+  const engines = ["a", "b", "c", "d"].map(createCandidate);
   const report = (running: number) => ({ running, waiting: 0, slots: 16 });
   engines[0]!.record.recordReport(report(16), 0);
   engines[1]!.record.recordReport(report(11), 2_000);
@@ -59,7 +59,7 @@
 // full as the others, none of them got a request, none reported its load, and
 // every second request was refused for seconds.
 test("an engine without a recent report is tried if the others are full", () => {
-  const engines = ["a", "b", "c", "d"].map(createChoice);
+  const engines = ["a", "b", "c", "d"].map(createCandidate);
   const report = (running: number) => ({ running, waiting: 1, slots: 16 });
   engines[0]!.record.recordReport(report(2), 0);
   for (const { record } of engines.slice(1)) {
@@ -68,14 +68,14 @@
   assert.equal(choose(engines, 5_010), "a");
 });
 
-test("without any load reports only this host's own requests differ", () => {
-  const engines = ["a", "b"].map(createChoice);
+test("without any load reports the engine with fewer own requests is chosen", () => {
+  const engines = ["a", "b"].map(createCandidate);
   engines[0]!.record.inFlight = 3;
   assert.equal(choose(engines, 0), "b");
 });
 
 test("an older load report counts less", () => {
-  const engines = ["a", "b"].map(createChoice);
+  const engines = ["a", "b"].map(createCandidate);
   engines[0]!.record.recordReport({ running: 0, waiting: 0, slots: 16 }, 0);
   engines[1]!.record.recordReport({ running: 8, waiting: 0, slots: 16 }, 1_000);
   choose(engines, 1_000);
--- a/packages/core/src/news/due_news_selector_test.ts
+++ b/packages/core/src/news/due_news_selector_test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { DueNewsSelector } from "./due_news_selector.ts";
 
-const REST_MILLISECONDS = 1_000;
+const REFRESH_MILLISECONDS = 1_000;
 
 function select(
   selector: DueNewsSelector,
@@ -15,7 +15,7 @@
 
 test("changed values are sent at once, unchanged ones at intervals", () => {
   const selector = new DueNewsSelector({
-    refreshMilliseconds: REST_MILLISECONDS,
+    refreshMilliseconds: REFRESH_MILLISECONDS,
     maxPerSecond: 100,
   });
   assert.deepEqual(select(selector, { a: 1, b: 1 }, 0), ["a", "b"]);
@@ -27,7 +27,7 @@
 // Guards against sending the same few of many values again and again.
 test("if the budget is exceeded, values sent longest ago come first", () => {
   const selector = new DueNewsSelector({
-    refreshMilliseconds: REST_MILLISECONDS,
+    refreshMilliseconds: REFRESH_MILLISECONDS,
     maxPerSecond: 2,
   });
   const values = { a: 1, b: 1, c: 1 };
--- a/packages/core/src/rollout/is_nearly_complete_test.ts
+++ b/packages/core/src/rollout/is_nearly_complete_test.ts
@@ -24,7 +24,7 @@
 // The weight store goes down while two chunks of a version are missing. Engines
 // that had stopped accepting requests for this version were idle for six
 // seconds.
-test("a version whose last chunks have stalled is not nearly held", () => {
+test("a version whose last chunks have stalled is not nearly complete", () => {
   const after = (millisecondsSinceLastChunk: number) =>
     isNearlyComplete({
       held: 46,
--- a/packages/core/src/rollout/rollout_rules_test.ts
+++ b/packages/core/src/rollout/rollout_rules_test.ts
@@ -47,21 +47,22 @@
   assert.equal(permits.tryAcquire("b", { ...view, now: 8_001 }), true);
 });
 
-// One of six control hosts is slow and learns of a version 0.7 s late. A
-// gateway that this host informs counts from then, and let a request begin on
+// One of six control hosts was slow and learned of a version 0.7 s late. A
+// gateway that this host informed counted from then, and let a request begin on
 // the old weights 345 ms after the time from which none may.
-test("a delayed naming lets no request begin on old weights", () => {
+test("no request begins on old weights too late, though a naming is delayed", () => {
   const boundMilliseconds = 8_000;
-  const heardLateMilliseconds = 695;
+  const actualDelayMilliseconds = 695;
   const named = new NamedVersions();
-  named.add("m", { version: 2, namedAt: heardLateMilliseconds });
-  const givenUpAt = named.supersededAt("m", 1) + boundMilliseconds -
+  named.add("m", { version: 2, namedAt: actualDelayMilliseconds });
+  const lastUseAt = named.supersededAt("m", 1) + boundMilliseconds -
     weightsMargins.namingDelayMilliseconds;
-  assert.ok(givenUpAt <= boundMilliseconds, `${givenUpAt}`);
+  assert.ok(lastUseAt <= boundMilliseconds, `${lastUseAt}`);
 });
 
 test("an engine needs no permit once gateways stop using its weights", () => {
-  // Guards against idle engines, and against engines that stop too early.
+  // Guards against engines that wait idle for a permit, and against engines
+  // that stop serving while gateways still send requests to their weights.
   const { namingDelayMilliseconds, requestStartMilliseconds } = weightsMargins;
   const lastSent = 8_000 - namingDelayMilliseconds - requestStartMilliseconds;
   assert.equal(weightsUnusedAt(18_000, 8_000), 18_000 + lastSent);
--- a/packages/core/src/spread/spread_table_test.ts
+++ b/packages/core/src/spread/spread_table_test.ts
@@ -49,8 +49,11 @@
   const table = tableWith(["frozen", "awake"]);
   const plan = policy();
   const first = plan.plan(table, 0);
-  const held = first.filter(({ host }) => host === "frozen");
-  assert.ok(held.length > 0 && held.every(({ source }) => source === ORIGIN));
+  const pendingTransfers = first.filter(({ host }) => host === "frozen");
+  assert.ok(
+    pendingTransfers.length > 0 &&
+      pendingTransfers.every(({ source }) => source === ORIGIN),
+  );
   for (let now = 100; now <= 3_000; now += 100) {
     table.expireTransfers(now);
     for (const { host, chunk } of plan.plan(table, now)) {
@@ -85,10 +88,11 @@
   assert.equal(table.isAvoided("a", "b", 400), true);
 });
 
-// Each host's uplink carries what another host's downlink takes, and a little
-// less wherever two hosts need the same. The origin's link, which is idle once
-// every chunk has left the origin, makes up for the difference.
-test("in haste the origin helps only once hosts hold all chunks", () => {
+// Hosts exchange chunks over their uplinks, which carry what the downlinks of
+// other hosts take, and a little less wherever two hosts need the same chunk.
+// The origin's link, which is idle once every chunk has left the origin, makes
+// up for the difference.
+test("with objective haste the origin helps only once hosts hold all chunks", () => {
   const fromOrigin = (objective: SpreadObjective, heldChunks: number) => {
     const table = tableWith(["full", "a", "b", "c"]);
     for (let chunk = 0; chunk < heldChunks; chunk += 1) {
@@ -115,7 +119,7 @@
 // A control host keeps a table for every data centre and receives every chunk
 // report. Guards against planning where no host follows the plans or is missing
 // chunks, and against leaving out a host that has just lost its chunks.
-test("a table has work only while a follower is missing chunks", () => {
+test("a table has missing chunks only while a follower lacks some", () => {
   const table = tableWith(["a", "b"]);
   assert.equal(table.hasMissingChunks, true);
   table.host("a")!.followsPlans = false;
