--- a/packages/daemon/src/agent/agent_app.ts
+++ b/packages/daemon/src/agent/agent_app.ts
@@ -174,7 +174,7 @@
           "weights.live_milliseconds",
           Date.now() - this.#spread.targetReceivedAt,
         );
-        this.#cache.keepOnly(
+        this.#cache.retainOnly(
           new Set([settled.version, this.#spread.targetVersion]),
         );
       }
--- a/packages/daemon/src/agent/engine_loader.ts
+++ b/packages/daemon/src/agent/engine_loader.ts
@@ -54,7 +54,7 @@
   #permit: Permit | undefined;
   #permitRequestedAt = 0;
   #steps = 0;
-  #stopped = false;
+  #isStopped = false;
 
   constructor(options: Options) {
     this.#options = options;
@@ -65,7 +65,7 @@
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
   setTarget(version: string): void {
@@ -78,7 +78,7 @@
   }
 
   async #run(): Promise<void> {
-    while (!this.#stopped) {
+    while (!this.#isStopped) {
       await this.#step();
       await pause(STEP_INTERVAL_MILLISECONDS);
     }
@@ -206,7 +206,7 @@
    */
   async #waitUntilLoadEnds(): Promise<string> {
     const deadline = Date.now() + LOAD_TIMEOUT_MILLISECONDS;
-    while (Date.now() < deadline && !this.#stopped) {
+    while (Date.now() < deadline && !this.#isStopped) {
       const read = await this.#options.engine.readState();
       if (read.isOk && !read.value.loading) return read.value.version;
       await pause(POLL_INTERVAL_MILLISECONDS);
--- a/packages/daemon/src/control/bootstrap_cluster.ts
+++ b/packages/daemon/src/control/bootstrap_cluster.ts
@@ -9,7 +9,7 @@
 import type { Settings } from "../settings/settings.ts";
 import type { ClientPool } from "../transport/client_pool.ts";
 
-const RETRY_MILLISECONDS = 200;
+const RETRY_DELAY_MILLISECONDS = 200;
 const CALL_TIMEOUT_MILLISECONDS = 1_000;
 
 type Options = {
@@ -83,7 +83,9 @@
         .map((member) => create(MemberSchema, { ...member, learner: false }));
       return create(MembershipSchema, { members });
     }
-    await new Promise((resolve) => setTimeout(resolve, RETRY_MILLISECONDS));
+    await new Promise((resolve) =>
+      setTimeout(resolve, RETRY_DELAY_MILLISECONDS)
+    );
   }
   return undefined;
 }
--- a/packages/daemon/src/control/crash_attributor.ts
+++ b/packages/daemon/src/control/crash_attributor.ts
@@ -17,7 +17,7 @@
 import { monotonicMilliseconds } from "../transport/monotonic_milliseconds.ts";
 
 /** Gateways detect and report the same server's end within this time. */
-const SETTLE_MILLISECONDS = 120;
+const DECISION_DELAY_MILLISECONDS = 120;
 const REPORT_BATCH_MILLISECONDS = 50;
 /** Bounds the reports sent to each other control host to 10 KB/s. */
 const MAX_REPORTS_PER_SECOND = 150;
@@ -56,7 +56,9 @@
   /** Fingerprints cleared because the request completed successfully. */
   readonly cleared$ = new Subject<string>();
   #options: Options;
-  #ledger = new CrashLedger({ decisionDelayMilliseconds: SETTLE_MILLISECONDS });
+  #ledger = new CrashLedger({
+    decisionDelayMilliseconds: DECISION_DELAY_MILLISECONDS,
+  });
   /** Fingerprints emitted as suspicions or restored; oldest first. */
   #persisted = new Set<string>();
   #suspicionBudget = new NewsRateLimiter(MAX_SUSPICIONS_PER_SECOND);
@@ -173,7 +175,7 @@
       if (blames.length > 0) this.#publishBlames(blames, "decided");
       for (const blame of blames) this.blamed$.next(blame);
       if (this.#ledger.hasPendingSuspects) this.#scheduleDecision();
-    }, SETTLE_MILLISECONDS);
+    }, DECISION_DELAY_MILLISECONDS);
   }
 
   #publishBlames(blames: Blame[], how: "decided" | "told" | "kept"): void {
--- a/packages/daemon/src/control/join_cluster.ts
+++ b/packages/daemon/src/control/join_cluster.ts
@@ -4,7 +4,7 @@
 import type { ClientPool } from "../transport/client_pool.ts";
 import { pause } from "../transport/pause.ts";
 
-const RETRY_MILLISECONDS = 500;
+const RETRY_DELAY_MILLISECONDS = 500;
 const CALL_TIMEOUT_MILLISECONDS = 1_000;
 
 type Options = {
@@ -28,7 +28,7 @@
   const { addresses, hasLeader, isStopped, log, self } = options;
   let isLogged = false;
   while (!isStopped()) {
-    await pause(RETRY_MILLISECONDS);
+    await pause(RETRY_DELAY_MILLISECONDS);
     if (hasLeader()) {
       isLogged = false;
       continue;
--- a/packages/daemon/src/entry/calls/call_crash_detector.ts
+++ b/packages/daemon/src/entry/calls/call_crash_detector.ts
@@ -14,8 +14,8 @@
  * Within this time, every call that one backend server's end interrupted at
  * this host has been reported.
  */
-const REPORT_SETTLE_MILLISECONDS = 150;
-const EXPIRY_INTERVAL_MILLISECONDS = 10_000;
+const DECISION_DELAY_MILLISECONDS = 150;
+const EXPIRE_INTERVAL_MILLISECONDS = 10_000;
 const FINGERPRINT_HEX_DIGITS = 24;
 
 type Options = { control: Proposer; log: EventLog };
@@ -28,7 +28,7 @@
 export class CallCrashDetector {
   #options: Options;
   #ledger = new CrashLedger({
-    decisionDelayMilliseconds: REPORT_SETTLE_MILLISECONDS,
+    decisionDelayMilliseconds: DECISION_DELAY_MILLISECONDS,
   });
   /** Fingerprints of the blamed calls in the replicated tables. */
   #replicatedFingerprints = new Set<string>();
@@ -39,7 +39,7 @@
     this.#options = options;
     this.#expireTimer = setInterval(
       () => this.#ledger.expire(monotonicMilliseconds()),
-      EXPIRY_INTERVAL_MILLISECONDS,
+      EXPIRE_INTERVAL_MILLISECONDS,
     );
   }
 
@@ -134,7 +134,7 @@
       const blames = this.#ledger.blameSuspects(monotonicMilliseconds());
       for (const blame of blames) this.#replicateBlame(blame);
       if (this.#ledger.hasPendingSuspects) this.#scheduleDecision();
-    }, REPORT_SETTLE_MILLISECONDS);
+    }, DECISION_DELAY_MILLISECONDS);
   }
 
   /** Logs a new blame and proposes it to the replicated tables. */
--- a/packages/daemon/src/entry/sessions/control_session.ts
+++ b/packages/daemon/src/entry/sessions/control_session.ts
@@ -70,7 +70,7 @@
   #allotmentSequence = 0;
   #reports = new ReportTracker();
   #pendingProposals = new PendingProposals();
-  #stopped = false;
+  #isStopped = false;
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
@@ -86,7 +86,7 @@
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     clearInterval(this.#timer);
     this.#outgoing?.complete();
   }
@@ -123,7 +123,7 @@
       const reply = await this.#proposeOnce(command, until - Date.now());
       if (reply.kind === "committed") return reply;
       isInDoubt ||= reply.kind === "unknown";
-      const canRetry = !this.#stopped && this.#isLeaderLikelyReachable() &&
+      const canRetry = !this.#isStopped && this.#isLeaderLikelyReachable() &&
         Date.now() + PROPOSAL_RETRY_DELAY_MILLISECONDS < until;
       if (!canRetry) return { kind: isInDoubt ? "unknown" : "not-proposed" };
       await pause(PROPOSAL_RETRY_DELAY_MILLISECONDS);
@@ -169,7 +169,7 @@
    */
   async #runConnections(): Promise<void> {
     let next = 0;
-    while (!this.#stopped) {
+    while (!this.#isStopped) {
       const { controlHosts } = this.#options;
       const leader = this.#leaderAddress;
       const address = controlHosts.includes(leader) && leader !== ""
@@ -178,7 +178,7 @@
       next += 1;
       this.#leaderAddress = "";
       await this.#runConnection(address);
-      if (!this.#stopped) await pause(RECONNECT_DELAY_MILLISECONDS);
+      if (!this.#isStopped) await pause(RECONNECT_DELAY_MILLISECONDS);
     }
   }
 
@@ -215,7 +215,7 @@
    * not been the leader, for too long. Another control host may know a leader.
    */
   #shouldDisconnect(): boolean {
-    if (this.#stopped) return true;
+    if (this.#isStopped) return true;
     if (
       Date.now() - this.#lastMessageAt > SILENCE_TIMEOUT_MILLISECONDS
     ) return true;
--- a/packages/daemon/src/gateway/backend_pool_test.ts
+++ b/packages/daemon/src/gateway/backend_pool_test.ts
@@ -68,9 +68,9 @@
   assert.equal(isEjected(pool), false);
 });
 
-// Guards against an attempt that is likely to fail where the client could
-// instead be informed when to retry.
-test("with the only healthy one at its limit, an ejected one is not tried", () => {
+// Guards against an attempt that is likely to fail, where the client could
+// instead be told when the limit of the healthy backend server allows a retry.
+test("no ejected backend server is tried if the only other one is at its limit", () => {
   const { pool, endedServers$ } = openPool({
     isLimited: ({ instance }: BackendAnnouncement) => instance === "one",
     hasCapacity: ({ instance }: BackendAnnouncement) => instance !== "one",
--- a/packages/daemon/src/gateway/call_routing_test.ts
+++ b/packages/daemon/src/gateway/call_routing_test.ts
@@ -52,7 +52,7 @@
 // aborts the attempt after 0.7 s of silence, and the remaining engines are
 // full. A refusal then could not say whether the request ran, and the client
 // lost its answer.
-test("a request is not refused for lack of room after a failed attempt", () => {
+test("a request is not refused for lack of capacity after a failed attempt", () => {
   assert.equal(place([]), "refused");
   assert.equal(place(["i-1"]), "late");
 });
--- a/packages/daemon/src/gateway/crash_reporter.ts
+++ b/packages/daemon/src/gateway/crash_reporter.ts
@@ -24,7 +24,7 @@
  * blame within this time (they wait 120 ms); the gateway's own decision matters
  * when it is cut off from them.
  */
-const SETTLE_MILLISECONDS = 500;
+const DECISION_DELAY_MILLISECONDS = 500;
 const REPORT_BATCH_MILLISECONDS = 50;
 /** Amounts to 3 KB a second for each control host that is followed. */
 const MAX_REPORTS_PER_SECOND = 48;
@@ -50,8 +50,10 @@
  */
 export class CrashReporter {
   #options: Options;
-  #ledger = new CrashLedger({ decisionDelayMilliseconds: SETTLE_MILLISECONDS });
-  #inFlight = new Set<InFlightCall>();
+  #ledger = new CrashLedger({
+    decisionDelayMilliseconds: DECISION_DELAY_MILLISECONDS,
+  });
+  #callsInFlight = new Set<InFlightCall>();
   #reports: CrashReport[] = [];
   #rateLimiter = new NewsRateLimiter(MAX_REPORTS_PER_SECOND);
   #reportTimer: NodeJS.Timeout | undefined;
@@ -87,8 +89,8 @@
 
   /** @returns a function that ends the watch. */
   watch(inFlightCall: InFlightCall): () => void {
-    this.#inFlight.add(inFlightCall);
-    return () => void this.#inFlight.delete(inFlightCall);
+    this.#callsInFlight.add(inFlightCall);
+    return () => void this.#callsInFlight.delete(inFlightCall);
   }
 
   recordSuccess(call: AdmittedCall): void {
@@ -164,7 +166,7 @@
         this.#options.publish(this.#encodeBlames(blames));
       }
       if (this.#ledger.hasPendingSuspects) this.#scheduleDecision();
-    }, SETTLE_MILLISECONDS);
+    }, DECISION_DELAY_MILLISECONDS);
   }
 
   #applyUpdate({ blamed, cleared }: CrashNews): void {
@@ -186,7 +188,7 @@
   }
 
   #abortInFlight(blame: Blame): void {
-    for (const { call, abort } of [...this.#inFlight]) {
+    for (const { call, abort } of [...this.#callsInFlight]) {
       if (fingerprintCall(call) === blame.fingerprint) abort(blame);
     }
   }
--- a/packages/daemon/src/gateway/silence_watch_test.ts
+++ b/packages/daemon/src/gateway/silence_watch_test.ts
@@ -7,12 +7,12 @@
 test("only silent attempts that can fail over are aborted", () => {
   mock.timers.enable({ apis: ["setInterval"] });
   const watch = new SilenceWatch();
-  const givenUp: string[] = [];
-  const attempt = (name: string, isSilent: boolean, mayGoElsewhere: boolean) =>
+  const aborted: string[] = [];
+  const attempt = (name: string, isSilent: boolean, canFailOver: boolean) =>
     watch.watch({
       isSilent: () => isSilent,
-      canFailOver: () => mayGoElsewhere,
-      abort: () => givenUp.push(name),
+      canFailOver: () => canFailOver,
+      abort: () => aborted.push(name),
     });
   attempt("silent", true, true);
   attempt("heard", false, true);
@@ -21,5 +21,5 @@
   stopWatching();
   mock.timers.tick(1_000);
   mock.timers.reset();
-  assert.deepEqual(givenUp, ["silent"]);
+  assert.deepEqual(aborted, ["silent"]);
 });
--- a/packages/daemon/src/gateway/start_hold_test.ts
+++ b/packages/daemon/src/gateway/start_hold_test.ts
@@ -4,9 +4,9 @@
 import { StartHold } from "./start_hold.ts";
 
 // After a power loss of all hosts the gateways are back a second before the
-// control hosts. Guards against refusing all requests meanwhile: clients whose
-// first attempt found no host have then used their second, and fail, though the
-// system serves again before their deadline.
+// control hosts. Guards against refusing all requests meanwhile: a client whose
+// first attempt reached no host would use up its second and last one as well,
+// and fail, though the system serves again before its deadline.
 test("a request is held until the first configuration is known", async () => {
   let configuredAt: number | undefined = undefined;
   const hold = new StartHold({
@@ -19,7 +19,7 @@
   assert.equal(await waiting, true);
 });
 
-test("no request is held for long, nor by a gateway that has settled", async () => {
+test("no request is held for long, nor by a gateway long configured or stopping", async () => {
   const now = monotonicMilliseconds();
   const unknown = new StartHold({
     configuredAt: () => undefined,
--- a/packages/daemon/src/rollout/manifest_fetcher.ts
+++ b/packages/daemon/src/rollout/manifest_fetcher.ts
@@ -8,7 +8,7 @@
 
 /** Versions are numbered from 1; an operator names only later ones. */
 const FIRST_VERSION = 1;
-const RETRY_INTERVAL_MILLISECONDS = 200;
+const RETRY_DELAY_MILLISECONDS = 200;
 
 type WantedManifest = {
   service: string;
@@ -98,7 +98,7 @@
         log.info("weights-target", { service, model, version });
         return this.target$.next(target);
       }
-      await pause(RETRY_INTERVAL_MILLISECONDS);
+      await pause(RETRY_DELAY_MILLISECONDS);
     }
   }
 
--- a/packages/daemon/src/rollout/stager_session.ts
+++ b/packages/daemon/src/rollout/stager_session.ts
@@ -81,7 +81,7 @@
       case "loadSettled":
         return hub.releasePermit(this);
       case "load":
-        return this.#handleLoad(body.value);
+        return this.#handleLoadReport(body.value);
     }
   }
 
@@ -123,7 +123,7 @@
     }));
   }
 
-  #handleLoad({ running, queued }: LoadReport): void {
+  #handleLoadReport({ running, queued }: LoadReport): void {
     this.#options.publishLoad(create(EngineLoadSchema, {
       engineAddress: this.announcement!.engineAddress,
       running,
--- a/packages/daemon/src/spread/weights_cache.ts
+++ b/packages/daemon/src/spread/weights_cache.ts
@@ -85,7 +85,7 @@
   }
 
   /** Drops all versions except these. */
-  keepOnly(versions: Set<string>): void {
+  retainOnly(versions: Set<string>): void {
     for (const name of [...this.#versions.keys()]) {
       if (!versions.has(name)) this.#versions.delete(name);
     }
--- a/packages/daemon/src/stager/staged_loader_test.ts
+++ b/packages/daemon/src/stager/staged_loader_test.ts
@@ -161,8 +161,8 @@
 });
 
 test("weights that were checked long ago are checked again", async () => {
-  // Guards against loading chunks that were corrupted after verification,
-  // while this process was paused.
+  // Guards against loading chunks that were corrupted after the loader had
+  // checked them, while its process was paused.
   const { engine, loader, deliverVersion } = setUp();
   engine.firstReadMilliseconds = 2_100;
   loader.start();
--- a/packages/daemon/src/stager/stager_app.ts
+++ b/packages/daemon/src/stager/stager_app.ts
@@ -46,7 +46,7 @@
  * With a beat every 500 ms, a heartbeat goes out every 1.5 s, half the silence
  * after which a control host closes the session.
  */
-const QUIET_BEATS_PER_HEARTBEAT = 3;
+const BEATS_PER_HEARTBEAT = 3;
 /**
  * The coordinator's next plan waits for these reports, so the delay is only a
  * fraction of a chunk's transfer time on a slow link.
@@ -114,7 +114,7 @@
       dataCentre: settings.data_centre,
       clients,
       timeline: log.timeline,
-      beatsPerHeartbeat: QUIET_BEATS_PER_HEARTBEAT,
+      beatsPerHeartbeat: BEATS_PER_HEARTBEAT,
       allowsRemoteCoordinator: true,
       createInitialMessages: (address) => [
         this.#buildAnnouncement(),
@@ -253,7 +253,7 @@
     ) as WeightsManifest;
     this.#options.log.info("weights-target", { version: target.version });
     this.#spread.setTarget(manifest, target.store);
-    this.#cache.keepOnly(new Set([versionName(manifest)]));
+    this.#cache.retainOnly(new Set([versionName(manifest)]));
     this.#links.broadcast((address) => this.#buildFullReport(address));
     this.#recordNamedVersions(manifest.name, target.named);
     this.#loader.setTarget(manifest.name, target.number, target.version);
--- a/packages/daemon/src/transport/follow_set_test.ts
+++ b/packages/daemon/src/transport/follow_set_test.ts
@@ -97,7 +97,8 @@
   assert.equal(new Set(hosts.opened).size, 2);
 });
 
-// Control hosts elect a leader only once they reach each other.
+// Control hosts can elect a leader only once they reach each other. Guards
+// against an election that waits for streams opened one after the other.
 test("control hosts open their streams to each other all at once", async () => {
   const hosts = new SlowControlHosts();
   const followSet = createFollowSet(hosts, true);
--- a/packages/daemon/src/transport/internal_server_test.ts
+++ b/packages/daemon/src/transport/internal_server_test.ts
@@ -18,7 +18,7 @@
 // Guards against a control host that accepts followers' streams before the
 // leader election that these followers wait for: setting the streams up would
 // delay the election.
-test("a connection that is not allowed yet is closed at once, and served later", async () => {
+test("a connection that is not allowed yet is closed at once, a later one served", async () => {
   let mayConnect = false;
   const server = new InternalServer({
     routes: (router) => {
--- a/packages/daemon/src/transport/rollout_links.ts
+++ b/packages/daemon/src/transport/rollout_links.ts
@@ -98,7 +98,7 @@
   #links: Link[];
   #coordinator = "";
   #beatsWithoutMessage = 0;
-  #stopped = false;
+  #isStopped = false;
   #timer: NodeJS.Timeout | undefined;
 
   constructor(options: Options) {
@@ -119,7 +119,7 @@
    * are no longer listed. An empty list is ignored.
    */
   setAddresses(addresses: string[]): void {
-    if (this.#stopped || addresses.length === 0) return;
+    if (this.#isStopped || addresses.length === 0) return;
     for (const link of this.#links) {
       if (addresses.includes(link.address)) continue;
       link.isRemoved = true;
@@ -135,7 +135,7 @@
   }
 
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
     clearInterval(this.#timer);
     for (const link of this.#links) {
       link.outgoing?.complete();
@@ -184,13 +184,13 @@
   }
 
   async #run(link: Link): Promise<void> {
-    while (!this.#stopped && !link.isRemoved) {
+    while (!this.#isStopped && !link.isRemoved) {
       if (!this.#mayOpenNextStream()) {
         await pause(OPEN_POLL_MILLISECONDS);
         continue;
       }
       await this.#connect(link);
-      if (!this.#stopped) await pause(RECONNECT_DELAY_MILLISECONDS);
+      if (!this.#isStopped) await pause(RECONNECT_DELAY_MILLISECONDS);
     }
   }
 
