--- a/packages/core/src/crashes/crash_ledger_test.ts
+++ b/packages/core/src/crashes/crash_ledger_test.ts
@@ -42,7 +42,7 @@
 }
 
 // Guards against a request that crashes one backend server after the other.
-test("a request at three crashes of backend servers is refused for a term", () => {
+test("a request at three crashes of backend servers is refused for a period", () => {
   const ledger = createLedger();
   reportAll(ledger, ["a", "b"].map((name) => culpritReport(name)));
   assert.deepEqual(decideFingerprints(ledger), []);
@@ -89,7 +89,7 @@
   assert.equal(ledger.clear("stranger"), false);
 });
 
-test("one trial run follows the term, and a crash in it doubles the next term", () => {
+test("one trial run follows the refusal period, and a crash in it doubles the next", () => {
   const ledger = createLedger();
   reportAll(ledger, ["a", "b", "c"].map((name) => culpritReport(name)));
   const [blame] = ledger.blameSuspects(DECISION_DELAY_MILLISECONDS);
--- a/packages/core/src/gateway/backend_record_test.ts
+++ b/packages/core/src/gateway/backend_record_test.ts
@@ -101,7 +101,7 @@
 });
 
 test("requests sent while a load report was in transit are added to it", () => {
-  // An agent's load report on its engine reaches a gateway after 60 ms. At the
+  // A stager's load report on its engine reaches a gateway after 60 ms. At the
   // peak the gateway has sent that engine another request in the meantime.
   const record = new BackendRecord();
   record.recordSend(0);
--- a/packages/daemon/src/gateway/silence_watch_test.ts
+++ b/packages/daemon/src/gateway/silence_watch_test.ts
@@ -15,9 +15,9 @@
       abort: () => aborted.push(name),
     });
   attempt("silent", true, true);
-  attempt("heard", false, true);
-  attempt("bound", true, false);
-  const stopWatching = attempt("left", true, true);
+  attempt("responding", false, true);
+  attempt("without alternative", true, false);
+  const stopWatching = attempt("unwatched", true, true);
   stopWatching();
   mock.timers.tick(1_000);
   mock.timers.reset();
--- a/packages/daemon/src/rollout/stager_session.ts
+++ b/packages/daemon/src/rollout/stager_session.ts
@@ -56,7 +56,7 @@
   constructor(options: Options) {
     this.#options = options;
     this.#heartbeatTimer = setInterval(
-      () => this.#sendHeartbeat(),
+      () => this.#sendHeartbeatOrClose(),
       HEARTBEAT_INTERVAL_MILLISECONDS,
     );
     this.#subscriptions.add(
@@ -107,7 +107,7 @@
       engine: announcement.engineAddress,
     });
     hub.addSession(this);
-    this.#sendHeartbeat();
+    this.#sendHeartbeatOrClose();
     for (const target of manifests.targets) this.#sendTarget(target);
   }
 
@@ -155,7 +155,7 @@
     });
   }
 
-  #sendHeartbeat(): void {
+  #sendHeartbeatOrClose(): void {
     const silence = monotonicMilliseconds() - this.#lastMessageAt;
     if (silence > SILENCE_TIMEOUT_MILLISECONDS) return this.close();
     const { host, dataCentre, controlAddresses } = this.#options;
